--- a/tests/sim/histories.cpp
+++ b/tests/sim/histories.cpp
@@ -21,6 +21,7 @@
         auto drawn = draw(seed);
         drawn.options.seed = seed;
         Site site(drawn.options);
+        site.world.digest().name(name);
         const auto over = drawn.play(site);
         auto verdict = site.verdict(over);
         starts += site.checker.starts();
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -33,8 +33,10 @@
     world_.every(25ms, [this] {
         if (out_until_ > world_.now())
             store_.renew_holds(Clock::now());
-        else if (store_.expire(Clock::now()))
+        else if (store_.expire(Clock::now())) {
+            world_.digest().add_event("expiry", world_.now(), {std::to_string(store_.revision())});
             changed();
+        }
         // Watches end by time; not while nothing is answered.
         for (auto it = watches_.begin(); it != watches_.end();) {
             if (it->until > world_.now() || fails(it->from)) {
@@ -87,6 +89,16 @@
     carry_out(request, std::move(answer));
 }
 
+// Also those that are carried out late, or whose answer is lost.
+void StateServer::record_transaction(const Request& request, const lab::Answer& result) {
+    auto& digest = world_.digest();
+    if (!digest.enabled()) return;
+    digest.add_event(
+        "transaction", world_.now(),
+        {request.from, wire::encode(request.body), std::to_string(request.bytes),
+         std::to_string(result.status), wire::encode(result.body), std::to_string(store_.revision())});
+}
+
 void StateServer::carry_out(const Request& request, Answer answer) {
     const auto now = Clock::now();
     const auto path = request.target.substr(0, request.target.find('?'));
@@ -96,11 +108,13 @@
             writes = static_cast<double>(then->size());
     if (!store_.within_rates(writes, now)) {
         ++over_the_rate_;
+        world_.digest().add_event("over the rate", world_.now(), {request.from, request.target});
         return answer({429, {{"error", "over the rate"}}});
     }
     const bool get = request.method == verb::get, post = request.method == verb::post;
     if (path == "/multi" && post) {
         auto result = store_.multi(request.body, request.bytes);
+        record_transaction(request, result);
         const bool did = result.status == 200;
         writes_ += did ? static_cast<std::uint64_t>(writes) : 0;
         answer(plain(std::move(result)));
--- a/tests/sim/services.hpp
+++ b/tests/sim/services.hpp
@@ -36,6 +36,7 @@
     bool fails(const std::string& node) const;
     void handle(Request request, Answer answer);
     void carry_out(const Request& request, Answer answer);
+    void record_transaction(const Request& request, const lab::Answer& result);
     void changed();
     World& world_;
     lab::StateStore store_;
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -12,7 +12,7 @@
     if (the_world) the_world->end_wait(id, ec);
 }
 
-World::World(std::uint64_t seed) : random(seed), network_(seed * 7919 + 1) {
+World::World(std::uint64_t seed) : random(seed), digest_(seed), network_(seed * 7919 + 1) {
     the_world = this;
     Present::now = Nanos{0};
     Present::rate = 1;
@@ -177,15 +177,28 @@
     return slower + draw(150, 1'500);
 }
 
+void World::record(std::string_view kind, const Request& request, const std::string& address) {
+    if (!digest_.enabled()) return;
+    const auto body = request.body.is_null() ? std::string() : wire::encode(request.body);
+    digest_.add_event(kind, now(),
+                      {request.from, address, net::http::to_string(request.method), request.target, body});
+}
+
 void World::send(Request request, const std::string& address, Clock::duration deadline,
                  std::function<void(Reply)> done) {
     struct Open {
         std::function<void(Reply)> done;
     };
     auto open = std::make_shared<Open>(Open{std::move(done)});
-    auto finish = [open](Reply r) {
-        if (auto f = std::exchange(open->done, nullptr)) f(std::move(r));
+    auto finish = [this, open, from = request.from, address](Reply r) {
+        auto f = std::exchange(open->done, nullptr);
+        if (!f) return;
+        digest_.add_event("told", now(),
+                          {from, address, std::to_string(r.status), r.may_execute ? "sent" : "not sent"});
+        f(std::move(r));
     };
+    record("request", request, address);
+    digest_.add_event("deadline", now(), {std::to_string(deadline.count())});
     after(deadline, [finish] { finish(Reply{0, true, {}, false, {}}); });
     auto it = servers_.find(address);
     if (it == servers_.end()) {
@@ -213,6 +226,7 @@
         done(Reply{0, true, {}, false, {}});
         return;
     }
+    record("arrival", request, address);
     const auto from = request.from, to = it->second.name;
     if (auto* f = fault_between(from, to, Direction::request)) {
         if (f->kind == Fault::Kind::hold)
@@ -223,6 +237,10 @@
         return;
     }
     it->second.server(std::move(request), [this, from, to, done](Response r) {
+        if (digest_.enabled())
+            digest_.add_event(
+                "answer", now(),
+                {to, from, std::to_string(r.status), wire::encode(r.body), std::to_string(r.retry_after)});
         // The way back; a cut that began meanwhile holds or loses the answer.
         auto back = [this, from, to, done](Response answer) {
             auto arrive = [done, answer = std::move(answer)]() mutable {
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -10,6 +10,7 @@
 
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
+#include "sim/digest.hpp"
 
 namespace barrowrun::sim {
 
@@ -84,6 +85,9 @@
     // Every message takes up to so much longer.
     void slow_links(Nanos by, Nanos length) { slow_by_ = by, slow_until_ = now() + length; }
 
+    // What goes over the wire and what the state service does; tests/sim/digest.hpp says what for.
+    HistoryDigest& digest() { return digest_; }
+
     std::uint64_t wait(Nanos due, asio::io_context& io, std::unique_ptr<Completion> completion);
     void end_wait(std::uint64_t id, boost::system::error_code ec);
 
@@ -104,7 +108,9 @@
     enum class Direction { request, answer };
     const Fault* fault_between(const std::string& from, const std::string& to, Direction direction) const;
     Nanos latency(const std::string& from, const std::string& to);
+    void record(std::string_view kind, const Request& request, const std::string& address);
     void deliver(Request request, const std::string& address, std::function<void(Reply)> done);
+    HistoryDigest digest_;
     Nanos slow_by_{0}, slow_until_{0};
     std::mt19937_64 network_;  // apart: a script's draws don't move with the number of messages
     std::map<std::pair<Nanos, std::uint64_t>, Event> queue_;
