--- a/bench/quota_bench.cpp
+++ b/bench/quota_bench.cpp
@@ -76,7 +76,7 @@
         wire::Report r;
         r.machine = "n-" + std::to_string(i);
         r.address = "127.0.0.1:9", r.type = "small", r.zone = "a", r.session = 1, r.seq = ++seq[i],
-        r.token = 10;
+        r.fencing_token = 10;
         if (auto* m = cluster->find_machine(r.machine))
             for (auto& [a, e] : m->entries) {
                 if (e.exited()) continue;
--- a/bench/quota_day.cpp
+++ b/bench/quota_day.cpp
@@ -42,7 +42,7 @@
 };
 
 struct Worker {
-    std::uint64_t seq = 0, token = 0;
+    std::uint64_t seq = 0, fencing_token = 0;
     std::map<Attempt, Task> tasks;
     double next_report = 0;
     bool changed = true;
@@ -144,7 +144,7 @@
     }
     void lead() {
         cluster_ = std::make_unique<placement::Cluster>(rules_);
-        cluster_->lead(++token_, now_);
+        cluster_->lead(++fencing_token_, now_);
         cluster_->set_types({{"kiosk", cpus_each, 0, 32, 30, 0.5, 1.0, 0.2, 25, {"a"}}});
         cluster_->set_quotas(tree_, changed_, 60);
         for (auto& [key, value] : records_)
@@ -162,7 +162,7 @@
                 for (auto& r : *sheet) cluster_->inherit(*n, r, now_, static_cast<std::int64_t>(t_ * 1000));
             }
         for (int i = 0; i < machines; ++i) {
-            execute(i, token_, {});
+            execute(i, fencing_token_, {});
             cluster_->on_report(report(i), false, now_);
         }
     }
@@ -171,7 +171,7 @@
         Worker& w = workers_[static_cast<std::size_t>(i)];
         wire::Report r;
         r.machine = name(i), r.address = "127.0.0.1:9", r.type = "kiosk", r.zone = "a";
-        r.session = 1, r.seq = ++w.seq, r.token = w.token;
+        r.session = 1, r.seq = ++w.seq, r.fencing_token = w.fencing_token;
         for (auto& [a, x] : w.tasks) r.tasks.push_back({a, x.state, x.cause, x.saved});
         w.changed = false;
         w.next_report = t_ + uniform(2.2, 3.7);
@@ -179,7 +179,7 @@
     }
     void execute(int i, std::uint64_t under, const std::vector<wire::Command>& commands) {
         Worker& w = workers_[static_cast<std::size_t>(i)];
-        w.token = std::max(w.token, under);
+        w.fencing_token = std::max(w.fencing_token, under);
         for (auto& c : commands) {
             auto it = w.tasks.find(c.attempt);
             if (c.verb == wire::Verb::launch && it == w.tasks.end()) {
@@ -217,7 +217,7 @@
         Worker& w = workers_[static_cast<std::size_t>(i)];
         if (!w.changed && t_ < w.next_report) return;
         cluster_->on_report(report(i), true, now_);
-        execute(i, token_, cluster_->reply_commands(*cluster_->find_machine(name(i)), now_));
+        execute(i, fencing_token_, cluster_->reply_commands(*cluster_->find_machine(name(i)), now_));
     }
     void push(const std::string& which) {
         auto* m = cluster_->find_machine(which);
@@ -225,8 +225,8 @@
         int i = std::stoi(which.substr(2)) - 1000;
         auto commands = cluster_->push_commands(*m, now_);
         if (commands.empty()) return;
-        execute(i, token_, commands);
-        cluster_->push_answered(*m, commands, token_, true, false, now_);
+        execute(i, fencing_token_, commands);
+        cluster_->push_answered(*m, commands, fencing_token_, true, false, now_);
         cluster_->on_report(report(i), false, now_);
     }
     void write() {
@@ -284,7 +284,7 @@
     std::map<std::string, double> run_s_, saved_, force_;
     TimePoint now_ = TimePoint{} + 1000s, changed_{};
     double t_ = 0, dead_until_ = 0, below_ = 0, worst_wait_ = 0;
-    std::uint64_t token_ = 9;
+    std::uint64_t fencing_token_ = 9;
     int ids_ = 0;
     std::size_t over_ = 0, done_ = 0, stopped_ = 0;
 };
--- a/src/api/cloud.cpp
+++ b/src/api/cloud.cpp
@@ -92,7 +92,8 @@
         }
         for (auto& order : plan.rent) {
             if (open_hires_.size() >= most_open) break;
-            std::string request = "r-" + std::to_string(cluster_.token()) + "-" + std::to_string(++hires_);
+            std::string request =
+                "r-" + std::to_string(cluster_.fencing_token()) + "-" + std::to_string(++hires_);
             state::HireRecord hire{order.offer.type, order.offer.zone, order.offer.spot, order.count};
             open_hires_[request] = hire;
             // The request is on record before it is sent, so that a successor repeats it rather than forget
--- a/src/api/leader.cpp
+++ b/src/api/leader.cpp
@@ -8,7 +8,7 @@
 using state::Outcome;
 using namespace std::chrono_literals;
 
-Leader::Leader(Services services, std::uint64_t token, TimePoint acquired)
+Leader::Leader(Services services, std::uint64_t fencing_token, TimePoint acquired)
     : services_(services),
       cluster_(services.settings.rules),
       duties_(services.io),
@@ -21,8 +21,8 @@
       renewal_period_(
           leases::renewal_period(services.settings.rules.lease_s, services.settings.rules.cancel_s)),
       // Reckoned with even where it is switched off: a predecessor may have had it on.
-      renewal_bound_(services.settings.member_names(), renewal_period_, acquired, token) {
-    cluster_.lead(token, acquired);
+      renewal_bound_(services.settings.member_names(), renewal_period_, acquired, fencing_token) {
+    cluster_.lead(fencing_token, acquired);
     cluster_.set_types(services_.catalog);
     if (!services_.settings.cells) return;
     cells_ = std::make_unique<Cells>(
@@ -38,8 +38,8 @@
 
 std::optional<leases::RenewalGrant> Leader::grant() const {
     if (!loaded_ || services_.settings.lease_renewal_period() <= Clock::duration::zero()) return std::nullopt;
-    return leases::RenewalGrant{services_.election.token(), renewal_bound_.stamp(Clock::now()), false,
-                                cluster_.holding_cancelled()};
+    return leases::RenewalGrant{services_.election.fencing_token(), renewal_bound_.timestamp_ms(Clock::now()),
+                                false, cluster_.holding_cancelled()};
 }
 
 std::optional<leases::RenewalGrant> Leader::heard(const std::string& node,
@@ -209,8 +209,9 @@
         if (writes.empty()) continue;
         std::vector<state::Operation> operations;
         for (auto& w : writes) operations.push_back({w.key, w.value, 0});
-        std::vector<state::Condition> conditions{services_.election.fence()};
-        auto result = co_await services_.state.txn(std::move(conditions), std::move(operations));
+        std::vector<state::Precondition> preconditions{services_.election.fencing_precondition()};
+        auto result =
+            co_await services_.state.compare_and_swap(std::move(preconditions), std::move(operations));
         if (result.outcome == Outcome::ok) {
             for (auto& w : writes)
                 if (w.durable) w.durable();
@@ -220,22 +221,22 @@
         }
         cluster_.write_failed(std::move(writes), result.outcome == Outcome::unknown);
         if (result.outcome == Outcome::conflict) {
-            services_.election.doubt();
+            services_.election.suspect_lost_leadership();
             co_await net::sleep_for(50ms);
         } else if (result.outcome == Outcome::refused) {
             co_await net::sleep_for(100ms);
         } else {
             // It may still be applied later, over newer values: a new token makes sure that it can't.
             spdlog::info("a transaction got no answer: the token is renewed before the next");
-            while (!co_await services_.election.restamp()) co_await net::sleep_for(200ms);
-            cluster_.lead(services_.election.token(), acquired_);
+            while (!co_await services_.election.refresh_fencing_token()) co_await net::sleep_for(200ms);
+            cluster_.lead(services_.election.fencing_token(), acquired_);
         }
     }
 }
 
-Task<> Leader::restamp() {
-    if (co_await services_.election.restamp()) {
-        cluster_.lead(services_.election.token(), acquired_);
+Task<> Leader::refresh_fencing_token() {
+    if (co_await services_.election.refresh_fencing_token()) {
+        cluster_.lead(services_.election.fencing_token(), acquired_);
         for (auto& [name, m] : cluster_.machines()) {
             bool late = false;
             for (auto& [a, e] : m->entries) late |= e.late;
@@ -243,7 +244,7 @@
         }
     }
     co_await net::sleep_for(4s);
-    restamping_ = false;
+    refreshing_fencing_token_ = false;
 }
 
 Task<> Leader::tick_loop() {
@@ -262,7 +263,7 @@
             silence_.deaf_until(behind_until_);
         }
         if (!may_act()) continue;
-        cluster_.lead(services_.election.token(), acquired_);
+        cluster_.lead(services_.election.fencing_token(), acquired_);
         const bool moved = cluster_.tick(
             now, [&](const std::string& zone) { return renewal_bound_.latest_renewal(zone, now); });
         const auto& rules = services_.settings.rules;
@@ -285,7 +286,7 @@
         }
         auto verdict = silence_.judge(
             cluster_.machines(), now, acquired_, [this](auto& m) { return cluster_.runs_service(m); },
-            now - services_.state.last_ok() <= 1500ms);
+            now - services_.state.last_response() <= 1500ms);
         for (auto* m : verdict.ask) ask(*m);
         if (!verdict.give_up.empty()) {
             std::vector<std::string> gone;
@@ -300,7 +301,7 @@
         // A leader that no worker reaches is of no use, whatever the state service says.
         // Nor one that workers reach only by way of others: it can send them nothing, and they it late.
         if (contact_.cut_off(now, up) && now >= behind_until_ && now - acquired_ > 8s &&
-            services_.state.answers(now)) {
+            services_.state.responsive(now)) {
             // Their reports may come by way of others for another reason: whether the ways are open is asked,
             // and any answer counts as contact.
             if (now - ways_asked_ > 5s) {
@@ -318,15 +319,15 @@
             }
         }
         if (any_up && now - last_hello_ > secs(std::max(4.0, 2 * rules.report_s + 2)) &&
-            now - acquired_ > 8s && services_.state.answers(now)) {
+            now - acquired_ > 8s && services_.state.responsive(now)) {
             spdlog::warn("no worker has reached this leader for {:.1f} s",
                          Seconds(now - last_hello_).count());
             services_.election.step_down(15s);
             co_return;
         }
-        if (cluster_.unsettled(now) && !restamping_ && services_.state.answers(now)) {
-            restamping_ = true;
-            spawn("renew token", restamp());
+        if (cluster_.unsettled(now) && !refreshing_fencing_token_ && services_.state.responsive(now)) {
+            refreshing_fencing_token_ = true;
+            spawn("renew token", refresh_fencing_token());
         }
         if (now - served_looked_ > 5s) {
             served_looked_ = now;
--- a/src/api/leader.hpp
+++ b/src/api/leader.hpp
@@ -40,7 +40,7 @@
 
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
-    Leader(Services services, std::uint64_t token, TimePoint acquired);
+    Leader(Services services, std::uint64_t fencing_token, TimePoint acquired);
     void start();
     void stop();
 
@@ -94,7 +94,7 @@
         spawn("probe " + m.name, probe(m.name));
     }
     Task<> fence_known(std::shared_ptr<std::deque<std::string>> names);
-    Task<> restamp();
+    Task<> refresh_fencing_token();
     void say_served(TimePoint now);
     void spawn(std::string name, Task<> duty) {
         duties_.spawn(std::move(name), shared_from_this(), std::move(duty));
@@ -108,7 +108,7 @@
     net::Duties duties_;
     net::Signal place_wake_, write_wake_;
     TimePoint acquired_;
-    bool loaded_ = false, stopped_ = false, restamping_ = false;
+    bool loaded_ = false, stopped_ = false, refreshing_fencing_token_ = false;
     quota::Book book_;
     bool changing_quotas_ = false;
     std::uint64_t watch_from_ = 0, hires_ = 0;
--- a/src/api/node.cpp
+++ b/src/api/node.cpp
@@ -33,7 +33,7 @@
       workers_(io, 1, static_cast<std::size_t>(settings.max_connections * 0.3)),
       peers_(io, 8),
       election_(io, settings.node, peers_of(settings), state_, peers_,
-                election::Timing{settings.leader_hold, settings.promise}),
+                election::Timing{settings.leader_lease, settings.lease_vote}),
       public_server_(io, static_cast<std::size_t>(settings.max_connections * 0.55)),
       peer_server_(io, static_cast<std::size_t>(settings.max_connections * 0.1)),
       renewer_(settings.zone, settings.lease_renewal_period(), Clock::now()) {
@@ -48,12 +48,12 @@
         if (auto grant = leases::parse_renewal_grant(value))
             renewer_.granted(sent, Clock::now(), std::move(*grant));
     };
-    election_.on_lead = [this](std::uint64_t token, TimePoint acquired) {
+    election_.on_leadership_acquired = [this](std::uint64_t fencing_token, TimePoint acquired) {
         Services services{io_, settings_, state_, cloud_, workers_, peers_, election_, catalog_, renewer_};
-        leader_ = std::make_shared<Leader>(services, token, acquired);
+        leader_ = std::make_shared<Leader>(services, fencing_token, acquired);
         leader_->start();
     };
-    election_.on_lose = [this] {
+    election_.on_leadership_lost = [this] {
         if (leader_) leader_->stop();
         leader_.reset();
     };
@@ -82,7 +82,7 @@
     net::asio::co_spawn(io_, peer_server_.serve([this](net::Request r) { return peer_route(std::move(r)); }),
                         ended("the peer server"));
     net::asio::co_spawn(io_, election_.run(), ended("the election"));
-    net::asio::co_spawn(io_, election_.ping_peers(), ended("the pings"));
+    net::asio::co_spawn(io_, election_.send_heartbeats(), ended("the pings"));
     net::asio::co_spawn(io_, keep_catalog(), ended("the catalog"));
 }
 
@@ -95,7 +95,7 @@
             if (types && catalog_.empty()) catalog_ = *types;
         }
         // A node that is started into an outage says what else it can't reach.
-        if (catalog_.empty() && !state_.answers(Clock::now())) co_await cloud_.look();
+        if (catalog_.empty() && !state_.responsive(Clock::now())) co_await cloud_.look();
         if (catalog_.empty()) co_await net::sleep_for(500ms);
     }
 }
@@ -152,7 +152,8 @@
     // tells: in the first seconds of an outage for all, what others said still stems from before. Two nodes
     // out of three took themselves out of the load balancer's rotation then, and each such removal doubles
     // the pause of the next.
-    const bool ready = state_.answers(now) || !election_.peer_state_ok(now, state_.failing_since() + 3s);
+    const bool ready =
+        state_.responsive(now) || !election_.peer_reaches_state_service(now, state_.failing_since() + 3s);
     if (ready != ready_)
         spdlog::info(ready ? "ready for users again"
                            : "not ready for users: the state service refuses this node alone");
--- a/src/api/node_jobs.cpp
+++ b/src/api/node_jobs.cpp
@@ -21,8 +21,10 @@
         look.status = it->second;
         co_return look;
     }
-    if (!co_await state_.lookup_turn()) co_return look;
-    auto get = [this](std::string key) { return state_.get(std::move(key), 1500ms, state::Pace::lookup); };
+    if (!co_await state_.admit_lookup()) co_return look;
+    auto get = [this](std::string key) {
+        return state_.get(std::move(key), 1500ms, state::Throttle::admitted_lookup);
+    };
     // A job moves from jobs/ to past/ in one transaction, so looking in this order misses none.
     auto job = co_await get(state::job_key(id));
     if (job.outcome == Outcome::ok) {
--- a/src/api/node_peers.cpp
+++ b/src/api/node_peers.cpp
@@ -12,8 +12,9 @@
     const std::string& target = request.target;
     if (target == "/peer/ping") {
         bool leads = leader() != nullptr;
-        Json answer{
-            {"state_ok", state_.answers(Clock::now())}, {"leading", leads}, {"elected", election_.elected()}};
+        Json answer{{"state_ok", state_.responsive(Clock::now())},
+                    {"leading", leads},
+                    {"elected", election_.elected()}};
         answer["waiting"] = leads ? leader_->waiting() : 0;
         if (const Json* value = wire::find(*body, "leases"); value && leads)
             if (auto heartbeat = leases::parse_heartbeat(*value))
@@ -36,7 +37,7 @@
     }
     if (target == "/peer/abstain") {
         auto ms = wire::count(*body, "ms").value_or(0);
-        bool promise = co_await election_.asked_to_abstain(
+        bool promise = co_await election_.grant_lease_vote(
             std::chrono::milliseconds(std::min<std::uint64_t>(ms, 60'000)));
         Json answer{{"promise", promise}};
         co_return Response{200, std::move(answer)};
--- a/src/api/node_submissions.cpp
+++ b/src/api/node_submissions.cpp
@@ -94,15 +94,16 @@
 Task<std::optional<Response>> Node::write_submission(const state::JobRecord& record) {
     const std::string id = record.spec.id;
     for (int attempt = 0; attempt < most_write_attempts; ++attempt) {
-        std::vector<state::Condition> conditions;
-        conditions.push_back({state::job_key(id), 0});
-        conditions.push_back({state::past_key(id), 0});
+        std::vector<state::Precondition> preconditions;
+        preconditions.push_back({state::job_key(id), 0});
+        preconditions.push_back({state::past_key(id), 0});
         std::vector<state::Operation> operations;
         operations.push_back({state::job_key(id), state::to_json(record), 0});
         auto term = leader_;
         const bool loaded_before = term && term->loaded();
         // Not behind the leader's own writes: while the fleet is busy those wait for most of a second.
-        auto result = co_await state_.txn(conditions, operations, write_deadline, state::Pace::ahead);
+        auto result = co_await state_.compare_and_swap(preconditions, operations, write_deadline,
+                                                       state::Throttle::charge_only);
         if (result.outcome == Outcome::ok) {
             // A term that has read the records since may know the job already, and that it is over.
             if (loaded_before && leader() && leader_ == term)
@@ -127,14 +128,14 @@
             net::asio::co_spawn(io_, tell_leader(id), net::asio::detached);
             co_return Response{200, wire::accepted_json(id, look.status->standing)};
         }
-        if (!state_.answers(Clock::now())) co_return std::nullopt;
+        if (!state_.responsive(Clock::now())) co_return std::nullopt;
         co_await net::sleep_for(write_retry_pause);
     }
     co_return std::nullopt;
 }
 
 Task<std::optional<Response>> Node::pass_to_a_peer(const wire::JobSpec& spec) {
-    if (!election_.peer_state_ok(Clock::now())) co_return std::nullopt;
+    if (!election_.peer_reaches_state_service(Clock::now())) co_return std::nullopt;
     for (auto& peer : election_.peers()) {
         if (!peer.state_ok) continue;
         auto reply = co_await peers_.call(peer.address, verb::post, "/peer/submit",
--- a/src/api/node_workers.cpp
+++ b/src/api/node_workers.cpp
@@ -16,17 +16,17 @@
     auto now = Clock::now();
     if (auto kept = leader_; leader()) co_return co_await kept->hello(std::move(*report), true);
     // Cut off together with the worker: it keeps its lease for a while, and what it runs goes on.
-    if (renewer_.may_renew_cut_off(*report, now, !state_.answers(now))) {
+    if (renewer_.may_renew_cut_off(*report, now, !state_.responsive(now))) {
         if (now - renewal_logged_ > 30s)
             spdlog::info("cut off from leader and state service: this node keeps the leases of its zone");
         renewal_logged_ = now;
         if (leader_) leader_->lease_renewed(report->machine, now);
-        co_return Response{200, wire::report_answer(renewer_.token(), {})};
+        co_return Response{200, wire::report_answer(renewer_.fencing_token(), {})};
     }
     if (leader_) co_return problem(503, "not entitled to act");
     auto name = election_.leader_name();
     if (name.empty()) co_return problem(503, "no leader is known");
-    if (redirects_.send_to(election_.leader_process(), report->machine, now))
+    if (redirects_.send_to(election_.leader_incarnation(), report->machine, now))
         co_return Response{421, wire::redirect_answer(name)};
     auto address = election_.leader_address();
     if (!address) co_return problem(503, "no leader is known");
--- a/src/api/quotas.cpp
+++ b/src/api/quotas.cpp
@@ -147,19 +147,20 @@
         for (bool written = false; !written;) {
             if (!may_act())
                 co_return problem(503, "this node no longer leads: look whether the change was made", 1);
-            std::vector<state::Condition> conditions{services_.election.fence()};
-            auto outcome = co_await services_.state.txn(std::move(conditions), operations);
+            std::vector<state::Precondition> preconditions{services_.election.fencing_precondition()};
+            auto outcome = co_await services_.state.compare_and_swap(std::move(preconditions), operations);
             if (outcome.outcome == Outcome::ok) {
                 written = true;
             } else if (outcome.outcome == Outcome::conflict) {
                 // Not executed: the token was renewed meanwhile, or another leads.
-                services_.election.doubt();
+                services_.election.suspect_lost_leadership();
                 co_await net::sleep_for(50ms);
             } else if (outcome.outcome == Outcome::refused) {
                 co_await net::sleep_for(200ms);
             } else {
                 // It may still be applied. The new token puts an end to that; then the head tells.
-                while (may_act() && !co_await services_.election.restamp()) co_await net::sleep_for(200ms);
+                while (may_act() && !co_await services_.election.refresh_fencing_token())
+                    co_await net::sleep_for(200ms);
                 if (!last) continue;  // pages that no head names may be written again
                 auto head = co_await services_.state.get(quota::head_key);
                 written = head.outcome == Outcome::ok && head.value == next.writes.back().value;
--- a/src/api/takeover.cpp
+++ b/src/api/takeover.cpp
@@ -116,7 +116,7 @@
         names->pop_front();
         // One that has reported to us by now knows our token.
         auto* m = cluster_.find_machine(name);
-        if (m && !(m->up && m->token_seen >= cluster_.token())) co_await push(name, true);
+        if (m && !(m->up && m->fencing_token_seen >= cluster_.fencing_token())) co_await push(name, true);
     }
 }
 
--- a/src/api/workers.cpp
+++ b/src/api/workers.cpp
@@ -14,7 +14,7 @@
     auto now = Clock::now();
     last_hello_ = now;
     direct ? contact_.direct(now) : contact_.passed_on(now);
-    auto token = services_.election.token();
+    auto fencing_token = services_.election.fencing_token();
     if (!loaded_) {
         auto [it, fresh] = early_.try_emplace(report.machine, report);
         if (!fresh && std::pair(it->second.session, it->second.seq) < std::pair(report.session, report.seq))
@@ -24,9 +24,9 @@
         if (!services_.renewer.may_renew(report.machine, now)) co_return not_entitled;
         if (cells_ && !cells_->may_renew(report, nullptr)) co_return not_entitled;
         early_answer_[report.machine] = now;
-        co_return Response{200, wire::report_answer(token, {})};
+        co_return Response{200, wire::report_answer(fencing_token, {})};
     }
-    cluster_.lead(token, acquired_);
+    cluster_.lead(fencing_token, acquired_);
     bool newer = cluster_.on_report(report, true, now);
     auto* m = cluster_.find_machine(report.machine);
     if (!m) co_return not_entitled;
@@ -41,7 +41,7 @@
     place_wake_.wake();
     if (cluster_.has_writes()) write_wake_.wake();
     send_touched();
-    co_return Response{200, wire::report_answer(token, commands)};
+    co_return Response{200, wire::report_answer(fencing_token, commands)};
 }
 
 void Leader::lease_renewed(const std::string& machine, TimePoint when) {
@@ -74,8 +74,8 @@
         auto* m = cluster_.find_machine(name);
         if (!m || m->pushing || m->returning || m->address.empty() || !may_act()) co_return;
         auto now = Clock::now();
-        auto token = services_.election.token();
-        cluster_.lead(token, acquired_);
+        auto fencing_token = services_.election.fencing_token();
+        cluster_.lead(fencing_token, acquired_);
         m->pushing = true;
         auto session = m->session;
         auto address = m->address;
@@ -89,15 +89,15 @@
             m->pushing = false;
             co_return;
         }
-        auto reply = co_await services_.workers.call(address, verb::post, "/commands",
-                                                     wire::push_body(token, session, commands), 1500ms);
+        auto reply = co_await services_.workers.call(
+            address, verb::post, "/commands", wire::push_body(fencing_token, session, commands), 1500ms);
         m = cluster_.find_machine(name);
         if (!m) co_return;
         m->pushing = false;
         now = Clock::now();
         bool executed = reply.status == 200;
         bool may_execute = reply.status == 0 && reply.may_execute;
-        cluster_.push_answered(*m, commands, token, executed, may_execute, now);
+        cluster_.push_answered(*m, commands, fencing_token, executed, may_execute, now);
         if (reply.status == 200 || reply.status == 409) {
             m->push_ok = true;
             contact_.direct(now);
@@ -109,9 +109,9 @@
                 // Refused for its session: once more with the right one. Refused for the token: another
                 // leads.
                 if (reply.status == 409) {
-                    if (report->token > services_.election.token()) {
-                        spdlog::warn("machine {} knows a newer token: {}", name, report->token);
-                        services_.election.doubt();
+                    if (report->fencing_token > services_.election.fencing_token()) {
+                        spdlog::warn("machine {} knows a newer token: {}", name, report->fencing_token);
+                        services_.election.suspect_lost_leadership();
                         co_return;
                     }
                     again = new_session;
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -27,7 +27,7 @@
       peer_client_(peer_client),
       timing_(timing),
       wake_(io),
-      abstention_(Clock::now(), timing.promise, names_of(peers_)) {
+      lease_voter_(Clock::now(), timing.lease_vote, names_of(peers_)) {
     std::uniform_int_distribution<std::uint64_t> any;
     incarnation_ = std::to_string(any(random_));
 }
@@ -38,7 +38,7 @@
     return std::nullopt;
 }
 
-bool Election::peer_state_ok(TimePoint now, TimePoint heard_after) const {
+bool Election::peer_reaches_state_service(TimePoint now, TimePoint heard_after) const {
     for (auto& p : peers_)
         if (p.state_ok && now - p.heard < 3s && p.heard >= heard_after) return true;
     return false;
@@ -57,25 +57,25 @@
     // Listed rather than read: a listing tells the service's revision. A watch from the key's own version is
     // refused once 10,000 changes have passed since, and would be asked again at once for as long as that
     // leader leads.
-    auto listed = co_await state_.list(state::leader_key, state::Pace::free);
+    auto listed = co_await state_.list(state::leader_key, state::Throttle::exempt);
     if (!listed.ok) {
         co_await net::sleep_for(200ms);
         co_return;
     }
     auto current = std::find_if(listed.items.begin(), listed.items.end(),
-                                [](const state::Item& item) { return item.key == state::leader_key; });
+                                [](const state::KeyValue& item) { return item.key == state::leader_key; });
     if (current == listed.items.end()) {
         leader_name_.clear();
-        if (!abstention_.free(Clock::now())) {
+        if (!lease_voter_.may_campaign(Clock::now())) {
             auto now = Clock::now();
-            auto most = abstention_.inherited(now) ? 50ms : 500ms;
-            co_await net::sleep_for(std::min<Clock::duration>(abstention_.until(now) - now, most));
+            auto most = lease_voter_.bound_by_predecessor(now) ? 50ms : 500ms;
+            co_await net::sleep_for(std::min<Clock::duration>(lease_voter_.may_campaign_at(now) - now, most));
             co_return;
         }
         co_await campaign();
         co_return;
     }
-    auto record = state::parse_leader(current->value);
+    auto record = state::parse_leader_record(current->value);
     if (!record) {
         co_await net::sleep_for(200ms);
         co_return;
@@ -84,29 +84,30 @@
         if (record->incarnation != incarnation_) {
             // An earlier process of this node led, and is certainly over: its hold need not run out.
             spdlog::info("an earlier process of this node held the lead: its hold is ended");
-            co_await state_.end_hold(record->hold);
+            co_await state_.revoke_lease(record->lease_id);
             co_return;
         }
         // A campaign whose answer was lost did succeed. The promises given since then bind all the same.
-        if (!abstention_.free(Clock::now())) {
+        if (!lease_voter_.may_campaign(Clock::now())) {
             auto now = Clock::now();
-            co_await net::sleep_for(std::min<Clock::duration>(abstention_.until(now) - now, 500ms));
+            co_await net::sleep_for(
+                std::min<Clock::duration>(lease_voter_.may_campaign_at(now) - now, 500ms));
             co_return;
         }
-        hold_ = record->hold;
-        stamp_ = record->stamp + 1;
+        lease_id_ = record->lease_id;
+        refresh_count_ = record->refresh_count + 1;
         // Under a token of its own: an earlier term of this process may have sent commands under the one on
         // record, and a worker that knows it would seem to have settled them.
-        auto stamped = co_await set_key(current->version, stamp_, 1000ms);
+        auto stamped = co_await write_leader_key(current->version, refresh_count_, 1000ms);
         bool leads = false;
-        if (stamped.outcome == Outcome::ok) leads = co_await lead_under(stamped.revision);
+        if (stamped.outcome == Outcome::ok) leads = co_await start_leading(stamped.revision);
         if (!leads) co_await net::sleep_for(200ms);
         co_return;
     }
     if (leader_name_ != record->node) spdlog::info("{} leads with token {}", record->node, current->version);
     leader_name_ = record->node;
-    leader_process_ = record->incarnation;
-    auto change = co_await state_.watch(state::leader_key, listed.revision, 5s, state::Pace::free);
+    leader_incarnation_ = record->incarnation;
+    auto change = co_await state_.watch(state::leader_key, listed.revision, 5s, state::Throttle::exempt);
     if (!change.ok) {
         co_await net::sleep_for(200ms);
         co_return;
@@ -116,62 +117,63 @@
 }
 
 Task<> Election::campaign() {
-    auto hold = co_await state_.create_hold(timing_.ttl);
-    if (!hold) {
+    auto lease_id = co_await state_.create_lease(timing_.ttl);
+    if (!lease_id) {
         co_await net::sleep_for(200ms);
         co_return;
     }
-    if (!abstention_.free(Clock::now())) co_return;
-    hold_ = *hold;
-    stamp_ = 1;
-    auto result = co_await set_key(0, stamp_, 1000ms);
+    if (!lease_voter_.may_campaign(Clock::now())) co_return;
+    lease_id_ = *lease_id;
+    refresh_count_ = 1;
+    auto result = co_await write_leader_key(0, refresh_count_, 1000ms);
     if (result.outcome == Outcome::ok) {
-        co_await lead_under(result.revision);
+        co_await start_leading(result.revision);
         co_return;
     }
     if (result.outcome == Outcome::conflict) {
-        co_await state_.end_hold(hold_);
+        co_await state_.revoke_lease(lease_id_);
         co_return;
     }
     co_await net::sleep_for(100ms);  // unknown or refused: follow() reads back how it came out
 }
 
-Task<state::TxnResult> Election::set_key(std::uint64_t from, std::uint64_t stamp, Clock::duration deadline) {
-    state::LeaderRecord record{node_, incarnation_, hold_, stamp};
-    std::vector<state::Condition> conditions{{state::leader_key, from}};
-    std::vector<state::Operation> operations{{state::leader_key, state::to_json(record), hold_}};
-    auto result =
-        co_await state_.txn(std::move(conditions), std::move(operations), deadline, state::Pace::free);
+Task<state::CompareAndSwapResult> Election::write_leader_key(std::uint64_t from, std::uint64_t refresh_count,
+                                                             Clock::duration deadline) {
+    state::LeaderRecord record{node_, incarnation_, lease_id_, refresh_count};
+    std::vector<state::Precondition> preconditions{{state::leader_key, from}};
+    std::vector<state::Operation> operations{{state::leader_key, state::to_json(record), lease_id_}};
+    auto result = co_await state_.compare_and_swap(std::move(preconditions), std::move(operations), deadline,
+                                                   state::Throttle::exempt);
     co_return result;
 }
 
-Task<bool> Election::lead_under(std::uint64_t token) {
+Task<bool> Election::start_leading(std::uint64_t fencing_token) {
     // The hold began when it was created, which was earlier: extend it before counting on it.
     auto sent = Clock::now();
-    auto extended = co_await state_.extend_hold(hold_, 800ms);
-    if (extended != Outcome::ok || !abstention_.free(Clock::now())) co_return false;
-    become_leader(token, sent);
+    auto extended = co_await state_.extend_lease(lease_id_, 800ms);
+    if (extended != Outcome::ok || !lease_voter_.may_campaign(Clock::now())) co_return false;
+    become_leader(fencing_token, sent);
     co_return true;
 }
 
-void Election::become_leader(std::uint64_t token, TimePoint sent) {
-    authority_.emplace(peers_.size());
-    authority_->hold_extended(sent, timing_.ttl);
-    token_ = token;
+void Election::become_leader(std::uint64_t fencing_token, TimePoint sent) {
+    leader_lease_.emplace(peers_.size());
+    leader_lease_->extended(sent, timing_.ttl);
+    fencing_token_ = fencing_token;
     leader_ = true;
-    lost_hint_ = false;
+    leadership_suspect_ = false;
     leader_name_ = node_;
-    spdlog::info("{} leads with token {}", node_, token);
-    on_lead(token, Clock::now());
+    spdlog::info("{} leads with token {}", node_, fencing_token);
+    on_leadership_acquired(fencing_token, Clock::now());
 }
 
-void Election::lose(const char* why) {
+void Election::lose_leadership(const char* why) {
     if (!leader_) return;
     leader_ = false;
     leader_name_.clear();
-    authority_->lose();
+    leader_lease_->revoke();
     spdlog::warn("{} no longer leads: {}", node_, why);
-    on_lose();
+    on_leadership_lost();
 }
 
 Task<> Election::lead() {
@@ -180,46 +182,46 @@
     while (leader_) {
         auto sent = Clock::now();
         // A late answer still counts, from when the extension was sent.
-        auto outcome = co_await state_.extend_hold(hold_, timing_.ttl / 2);
+        auto outcome = co_await state_.extend_lease(lease_id_, timing_.ttl / 2);
         if (!leader_) break;
         if (outcome == Outcome::ok) {
             if (silent_logged) spdlog::info("the state service answers again, the lead goes on");
             silent_logged = false;
-            authority_->hold_extended(sent, timing_.ttl);
+            leader_lease_->extended(sent, timing_.ttl);
             last_ok = Clock::now();
-            if (lost_hint_) {
+            if (leadership_suspect_) {
                 // A transaction met another token: see whether the key is still ours.
-                lost_hint_ = false;
-                auto current = co_await state_.get(state::leader_key, 800ms, state::Pace::free);
+                leadership_suspect_ = false;
+                auto current = co_await state_.get(state::leader_key, 800ms, state::Throttle::exempt);
                 auto record =
-                    current.outcome == Outcome::ok ? state::parse_leader(current.value) : std::nullopt;
+                    current.outcome == Outcome::ok ? state::parse_leader_record(current.value) : std::nullopt;
                 if (current.outcome == Outcome::absent || (record && record->incarnation != incarnation_)) {
-                    lose("another node took the lead");
+                    lose_leadership("another node took the lead");
                     break;
                 }
-                if (record && current.version > token_) {
+                if (record && current.version > fencing_token_) {
                     // A re-stamp whose answer was lost.
-                    token_ = current.version;
-                    stamp_ = record->stamp;
+                    fencing_token_ = current.version;
+                    refresh_count_ = record->refresh_count;
                 }
             }
             co_await wake_.wait(timing_.ttl / 4);
             continue;
         }
         if (outcome == Outcome::absent) {
-            lose("its hold has run out");
+            lose_leadership("its hold has run out");
             break;
         }
         if (!silent_logged) spdlog::warn("the state service does not extend the hold");
         silent_logged = true;
-        if (Clock::now() - last_ok > timing_.ttl / 4) co_await collect_promises();
+        if (Clock::now() - last_ok > timing_.ttl / 4) co_await collect_lease_votes();
         co_await net::sleep_for(150ms);
     }
 }
 
 // While the state service answers nobody, the lead goes on as long as every other node promises not to take
 // it.
-Task<> Election::collect_promises() {
+Task<> Election::collect_lease_votes() {
     struct Round {
         std::size_t open;
     };
@@ -228,13 +230,13 @@
     for (auto& p : peers_) {
         auto ask = [](Election* self, std::string name, std::string address, std::shared_ptr<Round> r,
                       std::shared_ptr<net::Signal> signal) -> Task<> {
-            auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(self->timing_.promise).count();
+            auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(self->timing_.lease_vote).count();
             Json body{{"from", self->node_}, {"ms", ms}};
             auto sent = Clock::now();
             auto reply = co_await self->peer_client_.call(address, verb::post, "/peer/abstain",
                                                           std::move(body), 900ms);
             if (reply.status == 200 && wire::flag(reply.body, "promise").value_or(false) && self->leader_)
-                self->authority_->promised(name, sent, self->timing_.promise);
+                self->leader_lease_->vote_granted(name, sent, self->timing_.lease_vote);
             --r->open;
             signal->wake();
         };
@@ -244,48 +246,48 @@
     while (round->open > 0 && Clock::now() < end) co_await done->wait(end - Clock::now());
 }
 
-Task<bool> Election::asked_to_abstain(Clock::duration length) {
+Task<bool> Election::grant_lease_vote(Clock::duration length) {
     if (leader_) co_return false;
-    length = std::min(length, timing_.promise);
-    auto current = co_await state_.get(state::leader_key, 300ms, state::Pace::free);
+    length = std::min(length, timing_.lease_vote);
+    auto current = co_await state_.get(state::leader_key, 300ms, state::Throttle::exempt);
     if (current.outcome == Outcome::ok || current.outcome == Outcome::absent) {
         // The state service answers here: the leader is alone with its trouble, and should be followed.
         co_return false;
     }
     if (leader_) co_return false;
     // A campaign of ours may be under way; it does not lead before the promise has run out.
-    abstention_.promise(Clock::now(), length);
+    lease_voter_.grant(Clock::now(), length);
     co_return true;
 }
 
-Task<bool> Election::restamp() {
+Task<bool> Election::refresh_fencing_token() {
     if (!leader_) co_return false;
-    auto old = token_;
-    auto result = co_await set_key(old, stamp_ + 1, 1500ms);
-    if (!leader_ || token_ != old) co_return false;
+    auto old = fencing_token_;
+    auto result = co_await write_leader_key(old, refresh_count_ + 1, 1500ms);
+    if (!leader_ || fencing_token_ != old) co_return false;
     if (result.outcome == Outcome::ok) {
-        ++stamp_;
-        token_ = result.revision;
-        spdlog::info("the token is renewed: {}", token_);
+        ++refresh_count_;
+        fencing_token_ = result.revision;
+        spdlog::info("the token is renewed: {}", fencing_token_);
         co_return true;
     }
-    if (result.outcome == Outcome::conflict) doubt();
+    if (result.outcome == Outcome::conflict) suspect_lost_leadership();
     co_return false;
 }
 
 void Election::step_down(Clock::duration pause) {
     if (!leader_) return;
-    auto hold = hold_;
-    abstention_.promise(Clock::now(), pause);
-    lose("it steps down");
-    auto end = [](Election* self, std::uint64_t h) -> Task<> { co_await self->state_.end_hold(h); };
-    net::asio::co_spawn(io_, end(this, hold), net::asio::detached);
+    auto lease_id = lease_id_;
+    lease_voter_.grant(Clock::now(), pause);
+    lose_leadership("it steps down");
+    auto end = [](Election* self, std::uint64_t h) -> Task<> { co_await self->state_.revoke_lease(h); };
+    net::asio::co_spawn(io_, end(this, lease_id), net::asio::detached);
     wake_.wake();
 }
 
-Task<> Election::ping_peers() {
+Task<> Election::send_heartbeats() {
     for (;;) {
-        auto answered = state_.answers(Clock::now());
+        auto answered = state_.responsive(Clock::now());
         Json now_said;
         if (heartbeat) now_said = heartbeat();
         for (auto& p : peers_) {
@@ -302,7 +304,8 @@
                 peer->state_ok = wire::flag(reply.body, "state_ok").value_or(false);
                 peer->leading = wire::flag(reply.body, "leading").value_or(false);
                 // Whoever doesn't say so may lead.
-                self->abstention_.said(peer->name, wire::flag(reply.body, "elected").value_or(true), sent);
+                self->lease_voter_.peer_reported(peer->name, wire::flag(reply.body, "elected").value_or(true),
+                                                 sent);
                 peer->waiting = wire::count(reply.body, "waiting").value_or(0);
                 if (const Json* grant = wire::find(reply.body, "leases"); grant && self->on_grant)
                     self->on_grant(sent, *grant);
@@ -310,7 +313,7 @@
             net::asio::co_spawn(io_, ask(this, &p, answered, now_said), net::asio::detached);
         }
         // A fresh process asks more often: as long as one that may lead is not heard, it must wait.
-        co_await net::sleep_for(abstention_.inherited(Clock::now()) ? 200ms : 1000ms);
+        co_await net::sleep_for(lease_voter_.bound_by_predecessor(Clock::now()) ? 200ms : 1000ms);
     }
 }
 
--- a/src/election/authority.hpp
+++ b/src/election/leader_lease.hpp
@@ -11,45 +11,45 @@
 
 // The leader's right to act: its hold, counted from when the last successful extension was *sent*, or, while
 // the state service answers nobody, the promises of all other nodes not to take over.
-class Authority {
+class LeaderLease {
   public:
-    explicit Authority(std::size_t peers) : peers_(peers) {}
-    void hold_extended(TimePoint sent, Clock::duration ttl) {
-        hold_until_ = std::max(hold_until_, sent + shorter(ttl));
+    explicit LeaderLease(std::size_t peers) : peers_(peers) {}
+    void extended(TimePoint sent, Clock::duration ttl) {
+        lease_expiry_ = std::max(lease_expiry_, sent + shorter(ttl));
     }
-    void promised(const std::string& peer, TimePoint sent, Clock::duration length) {
-        if (sent >= std::max(hold_until_, promised_until())) lapsed_ = true;
-        auto& until = promises_[peer];
+    void vote_granted(const std::string& peer, TimePoint sent, Clock::duration length) {
+        if (sent >= std::max(lease_expiry_, votes_expiry())) interrupted_ = true;
+        auto& until = vote_expiries_[peer];
         until = std::max(until, sent + shorter(length));
     }
     // Promises renew a right that was never interrupted; they can't bring one back that has run out, since
     // a peer may have led in between.
-    bool holds(TimePoint now) {
-        TimePoint promised = promised_until();
-        if (lost_ || now >= std::max(hold_until_, promised)) {
-            lapsed_ = true;
-            return now < hold_until_ && !lost_;
+    bool valid(TimePoint now) {
+        TimePoint promised = votes_expiry();
+        if (revoked_ || now >= std::max(lease_expiry_, promised)) {
+            interrupted_ = true;
+            return now < lease_expiry_ && !revoked_;
         }
-        if (now < hold_until_) {
-            lapsed_ = false;
+        if (now < lease_expiry_) {
+            interrupted_ = false;
             return true;
         }
-        return !lapsed_;
+        return !interrupted_;
     }
-    TimePoint hold_until() const { return hold_until_; }
-    void lose() { lost_ = true; }
+    TimePoint expiry() const { return lease_expiry_; }
+    void revoke() { revoked_ = true; }
 
   private:
-    TimePoint promised_until() const {
-        if (peers_ == 0 || promises_.size() < peers_) return TimePoint{};
+    TimePoint votes_expiry() const {
+        if (peers_ == 0 || vote_expiries_.size() < peers_) return TimePoint{};
         TimePoint least = TimePoint::max();
-        for (auto& [peer, until] : promises_) least = std::min(least, until);
+        for (auto& [peer, until] : vote_expiries_) least = std::min(least, until);
         return least;
     }
     std::size_t peers_;
-    TimePoint hold_until_{};
-    std::map<std::string, TimePoint> promises_;
-    bool lapsed_ = false, lost_ = false;
+    TimePoint lease_expiry_{};
+    std::map<std::string, TimePoint> vote_expiries_;
+    bool interrupted_ = false, revoked_ = false;
 };
 
 // A follower's side of the promises. A fresh process does not know what its predecessor promised, so it
@@ -61,27 +61,29 @@
 // other node has said, after this one's start, that it does not lead: whoever was promised anything was one
 // of these, or has ended. With all nodes killed at once that is when the last of them is back, 2.5 s sooner.
 // A node that is not heard may lead, and binds.
-class Abstention {
+class LeaseVoter {
   public:
-    Abstention(TimePoint start, Clock::duration longest, const std::set<std::string>& others = {})
-        : start_(start), inherited_until_(start + longer(longest)), may_lead_(others) {
+    LeaseVoter(TimePoint start, Clock::duration longest, const std::set<std::string>& others = {})
+        : start_(start), predecessor_votes_expiry_(start + longer(longest)), may_lead_(others) {
         known_ = !others.empty();
     }
-    void promise(TimePoint now, Clock::duration length) { until_ = std::max(until_, now + longer(length)); }
+    void grant(TimePoint now, Clock::duration length) { until_ = std::max(until_, now + longer(length)); }
     // A node's own answer to a question that was sent then.
-    void said(const std::string& node, bool leads, TimePoint sent) {
+    void peer_reported(const std::string& node, bool leads, TimePoint sent) {
         if (!leads && sent >= start_) may_lead_.erase(node);
     }
     // Whether what a predecessor may have promised still binds.
-    bool inherited(TimePoint now) const { return now < inherited_until_ && (!known_ || !may_lead_.empty()); }
-    bool free(TimePoint now) const { return now >= until_ && !inherited(now); }
+    bool bound_by_predecessor(TimePoint now) const {
+        return now < predecessor_votes_expiry_ && (!known_ || !may_lead_.empty());
+    }
+    bool may_campaign(TimePoint now) const { return now >= until_ && !bound_by_predecessor(now); }
     // When it will be free, from what is known by now.
-    TimePoint until(TimePoint now) const {
-        return inherited(now) ? std::max(until_, inherited_until_) : until_;
+    TimePoint may_campaign_at(TimePoint now) const {
+        return bound_by_predecessor(now) ? std::max(until_, predecessor_votes_expiry_) : until_;
     }
 
   private:
-    TimePoint start_, until_{}, inherited_until_;
+    TimePoint start_, until_{}, predecessor_votes_expiry_;
     std::set<std::string> may_lead_;  // other nodes that haven't said that they don't
     bool known_ = false;
 };
--- a/src/fleet/machine.cpp
+++ b/src/fleet/machine.cpp
@@ -54,11 +54,12 @@
 bool Machine::may_renew(TimePoint now, Clock::duration keep) const {
     return std::none_of(entries.begin(), entries.end(), [&](auto& kv) {
         auto& e = kv.second;
-        return e.stop && (e.late || e.in_flight) && token_seen <= e.sent_token && now >= e.stop_at + keep;
+        return e.stop && (e.late || e.in_flight) && fencing_token_seen <= e.sent_fencing_token &&
+               now >= e.stop_at + keep;
     });
 }
 
-bool Machine::apply(const wire::Report& report, bool hello, std::uint64_t own_token, TimePoint now,
+bool Machine::apply(const wire::Report& report, bool hello, std::uint64_t own_fencing_token, TimePoint now,
                     std::vector<Change>& changes) {
     if (up && std::pair(report.session, report.seq) <= std::pair(session, seq)) return false;
     // A higher session proves that all of the earlier one is gone, launches under way included: they name
@@ -78,7 +79,7 @@
     up = true;
     session = report.session;
     seq = report.seq;
-    token_seen = std::max(token_seen, report.token);
+    fencing_token_seen = std::max(fencing_token_seen, report.fencing_token);
     last_report = now;
     suspect = false;
     missed = 0;
@@ -120,22 +121,22 @@
                 break;
             case Phase::pushed:
                 // A push without an answer may execute as long as its token is the highest the worker knows.
-                proven = !e.in_flight && (!e.late || report.token > e.sent_token);
+                proven = !e.in_flight && (!e.late || report.fencing_token > e.sent_fencing_token);
                 break;
             case Phase::replied:
                 // The worker has one report in flight at a time: its next one shows what became of the
                 // response to the last.
                 proven = hello && report.seq > e.reply_seq && !e.in_flight &&
-                         (!e.late || report.token > e.sent_token);
+                         (!e.late || report.fencing_token > e.sent_fencing_token);
                 break;
             case Phase::inherited:
                 // Whatever the predecessor sent dies with its token, once the worker has seen ours.
-                proven = report.token >= own_token;
+                proven = report.fencing_token >= own_fencing_token;
                 break;
             case Phase::seen:
                 // Seen before, gone now: reaped, or ended with its session. A push that may still be on its
                 // way could start it again.
-                proven = !e.in_flight && (!e.late || report.token > e.sent_token);
+                proven = !e.in_flight && (!e.late || report.fencing_token > e.sent_fencing_token);
                 break;
         }
         if (proven) gone.push_back(a);
@@ -159,7 +160,7 @@
             if (!saving || e.grace_s <= 0) out.push_back({wire::Verb::kill, a, e.grace_s});
         } else if (e.exited()) {
             // A late launch would start a reaped attempt again, so wait until none can be on its way.
-            if (!e.in_flight && (!e.late || token_seen > e.sent_token) && may_reap(a, e))
+            if (!e.in_flight && (!e.late || fencing_token_seen > e.sent_fencing_token) && may_reap(a, e))
                 out.push_back({wire::Verb::reap, a, 0});
         } else if (launches && !e.stop &&
                    (e.phase == Phase::ready || (e.phase == Phase::pushed && e.late && !e.in_flight))) {
--- a/src/fleet/machine.hpp
+++ b/src/fleet/machine.hpp
@@ -25,9 +25,9 @@
 
 struct Entry {
     Phase phase = Phase::recording;
-    std::uint64_t sent_token = 0;  // highest token under which a launch may still be on its way
-    bool in_flight = false;        // a push that carries the launch has not been answered or given up yet
-    bool late = false;             // such a push got no answer: it may execute any time later
+    std::uint64_t sent_fencing_token = 0;  // highest token under which a launch may still be on its way
+    bool in_flight = false;  // a push that carries the launch has not been answered or given up yet
+    bool late = false;       // such a push got no answer: it may execute any time later
     std::uint64_t reply_seq = 0;
     wire::TaskState state = wire::TaskState::fetching;
     wire::Cause cause = wire::Cause::none;
@@ -65,7 +65,7 @@
   public:
     std::string name, address, type, zone;
     bool spot = false;
-    std::uint64_t session = 0, seq = 0, token_seen = 0;
+    std::uint64_t session = 0, seq = 0, fencing_token_seen = 0;
     bool up = false;                    // its worker has reported to us
     std::optional<TimePoint> taken_at;  // spot notice: when the cloud takes it, as nominally announced
     TimePoint known{}, rented{}, last_report{}, last_answer{}, idle_since{}, probed{};
@@ -105,7 +105,7 @@
 
     // Applies a report. `reply` tells a report to /hello from an answer of /commands: only the former proves
     // that an earlier response was received or dropped. Nothing happens for a report that is not newer.
-    bool apply(const wire::Report& report, bool hello, std::uint64_t own_token, TimePoint now,
+    bool apply(const wire::Report& report, bool hello, std::uint64_t own_fencing_token, TimePoint now,
                std::vector<Change>& changes);
     // The machine is proven empty: gone, or its lease has run out.
     void clear(std::vector<Change>& changes);
--- a/src/leases/leases.cpp
+++ b/src/leases/leases.cpp
@@ -26,7 +26,7 @@
 }
 
 Json to_json(const RenewalGrant& grant) {
-    Json out{{"token", grant.token}, {"stamp", grant.stamp}};
+    Json out{{"token", grant.fencing_token}, {"stamp", grant.timestamp_ms}};
     if (grant.grants_nothing || grant.excluded_machines.size() > most_named)
         out["but"] = true;
     else
@@ -35,10 +35,10 @@
 }
 
 std::optional<RenewalGrant> parse_renewal_grant(const Json& value) {
-    auto token = wire::count(value, "token"), stamp = wire::count(value, "stamp");
+    auto fencing_token = wire::count(value, "token"), timestamp_ms = wire::count(value, "stamp");
     const Json* but = wire::find(value, "but");
-    if (!token || !stamp || !but) return std::nullopt;
-    RenewalGrant grant{*token, *stamp, false, {}};
+    if (!fencing_token || !timestamp_ms || !but) return std::nullopt;
+    RenewalGrant grant{*fencing_token, *timestamp_ms, false, {}};
     if (but->is_array()) {
         for (auto& name : *but) {
             if (!name.is_string()) return std::nullopt;
@@ -51,18 +51,21 @@
 }
 
 Json to_json(const Heartbeat& heartbeat) {
-    return {{"zone", heartbeat.zone},      {"token", heartbeat.token},
-            {"stamp", heartbeat.stamp},    {"held_ms", heartbeat.grant_age_ms},
-            {"quiet", heartbeat.abstains}, {"own_ms", heartbeat.last_renewal_age_ms}};
+    return {{"zone", heartbeat.zone},
+            {"token", heartbeat.fencing_token},
+            {"stamp", heartbeat.timestamp_ms},
+            {"held_ms", heartbeat.grant_age_ms},
+            {"quiet", heartbeat.pauses_renewal},
+            {"own_ms", heartbeat.last_renewal_age_ms}};
 }
 
 std::optional<Heartbeat> parse_heartbeat(const Json& value) {
     auto zone = wire::text(value, "zone");
-    auto token = wire::count(value, "token"), stamp = wire::count(value, "stamp"),
+    auto fencing_token = wire::count(value, "token"), timestamp_ms = wire::count(value, "stamp"),
          held = wire::count(value, "held_ms"), own = wire::count(value, "own_ms");
-    auto abstains = wire::flag(value, "quiet");
-    if (!zone || !token || !stamp || !held || !own || !abstains) return std::nullopt;
-    return Heartbeat{*zone, *token, *stamp, *held, *abstains, *own};
+    auto pauses_renewal = wire::flag(value, "quiet");
+    if (!zone || !fencing_token || !timestamp_ms || !held || !own || !pauses_renewal) return std::nullopt;
+    return Heartbeat{*zone, *fencing_token, *timestamp_ms, *held, *pauses_renewal, *own};
 }
 
 // ---- a node --------------------------------------------------------------------------------------------
@@ -86,14 +89,14 @@
     Heartbeat out;
     out.zone = zone_;
     if (contact_ && grant_is_remote_) {
-        out.token = grant_.token;
-        out.stamp = grant_.stamp;
+        out.fencing_token = grant_.fencing_token;
+        out.timestamp_ms = grant_.timestamp_ms;
         out.grant_age_ms = whole_ms(now - received_);
     }
     out.last_renewal_age_ms = whole_ms(now - last_renewal_);
     if (contact_ && now - *contact_ < std::chrono::milliseconds(2000)) {
-        out.abstains = true;
-        abstains_until_ = std::max(abstains_until_, now + longer(abstention_period));
+        out.pauses_renewal = true;
+        renewal_paused_until_ = std::max(renewal_paused_until_, now + longer(renewal_pause));
     }
     return out;
 }
@@ -106,7 +109,7 @@
 bool LeaseRenewer::may_renew_cut_off(const wire::Report& report, TimePoint now, bool cut_off) {
     if (!cut_off || report.zone != zone_ || !may_renew(report.machine, now)) return false;
     // A worker that knows a higher token would drop the answer and stay here while its lease runs out.
-    if (report.token > grant_.token || now < abstains_until_) return false;
+    if (report.fencing_token > grant_.fencing_token || now < renewal_paused_until_) return false;
     last_renewal_ = now;
     return true;
 }
@@ -114,13 +117,13 @@
 // ---- the leader ----------------------------------------------------------------------------------------
 
 RenewalBound::RenewalBound(const std::set<std::string>& nodes, Clock::duration period, TimePoint acquired,
-                           std::uint64_t token)
-    : renewal_period_(period), acquired_(acquired), first_token_(token) {
+                           std::uint64_t fencing_token)
+    : renewal_period_(period), acquired_(acquired), first_fencing_token_(fencing_token) {
     // Whatever a predecessor granted was granted before this leader's time.
     for (auto& name : nodes) nodes_[name].grants_end = acquired + longer(period);
 }
 
-std::uint64_t RenewalBound::stamp(TimePoint now) const {
+std::uint64_t RenewalBound::timestamp_ms(TimePoint now) const {
     return whole_ms(now - acquired_) + 1;
 }
 
@@ -133,9 +136,11 @@
     // given, and no later than now. It speaks for what is between only as far as both hold.
     n.last_renewal = std::max(n.last_renewal, now - shorter(ms(heartbeat.last_renewal_age_ms)));
     // Tokens only grow: a lower one is of an earlier term, and so is its stamp.
-    if (heartbeat.abstains && heartbeat.stamp > 0 && heartbeat.token >= first_token_) {
-        auto sent = acquired_ + ms(heartbeat.stamp - 1) + shorter(ms(heartbeat.grant_age_ms));
-        if (sent <= now) n.abstains_until = std::max(n.abstains_until, sent + shorter(abstention_period));
+    if (heartbeat.pauses_renewal && heartbeat.timestamp_ms > 0 &&
+        heartbeat.fencing_token >= first_fencing_token_) {
+        auto sent = acquired_ + ms(heartbeat.timestamp_ms - 1) + shorter(ms(heartbeat.grant_age_ms));
+        if (sent <= now)
+            n.renewal_paused_until = std::max(n.renewal_paused_until, sent + shorter(renewal_pause));
     }
     if (granted) n.grants_end = std::max(n.grants_end, now + longer(renewal_period_));
 }
@@ -146,7 +151,7 @@
     for (auto& [name, n] : nodes_) {
         if (n.zone && !zone.empty() && *n.zone != zone) continue;
         last = std::max(last, std::min(now, n.last_renewal));
-        if (now > n.abstains_until) last = std::max(last, std::min(now, n.grants_end));
+        if (now > n.renewal_paused_until) last = std::max(last, std::min(now, n.grants_end));
     }
     return last;
 }
--- a/src/leases/leases.hpp
+++ b/src/leases/leases.hpp
@@ -25,13 +25,13 @@
 // For how long after its last contact with a leader a node may renew leases; zero: never.
 Clock::duration renewal_period(double lease_s, double cancel_s);
 // For how long a node abstains from renewing leases, counted from each heartbeat that says so.
-inline constexpr std::chrono::milliseconds abstention_period{2500};
+inline constexpr std::chrono::milliseconds renewal_pause{2500};
 
 // What a leader allows a node, with its answer to the node's heartbeat.
 struct RenewalGrant {
-    std::uint64_t token = 0;
-    std::uint64_t stamp = 0;      // ms on the leader's clock; means something to it alone
-    bool grants_nothing = false;  // no lease may be renewed: too many machines would have to be named
+    std::uint64_t fencing_token = 0;
+    std::uint64_t timestamp_ms = 0;  // ms on the leader's clock; means something to it alone
+    bool grants_nothing = false;     // no lease may be renewed: too many machines would have to be named
     std::set<std::string> excluded_machines;  // they may hold a task of a cancelled job
 };
 wire::Json to_json(const RenewalGrant& grant);
@@ -40,9 +40,9 @@
 // A node's part of its heartbeat to the leader, once a second.
 struct Heartbeat {
     std::string zone;
-    std::uint64_t token = 0, stamp = 0;  // of the last grant; 0: none
-    std::uint64_t grant_age_ms = 0;      // how long ago that came
-    bool abstains = false;               // renews no lease for `abstention_period` from now
+    std::uint64_t fencing_token = 0, timestamp_ms = 0;  // of the last grant; 0: none
+    std::uint64_t grant_age_ms = 0;                     // how long ago that came
+    bool pauses_renewal = false;                        // renews no lease for `renewal_pause` from now
     std::uint64_t last_renewal_age_ms =
         0;  // how long ago it last renewed a lease, at the most since its start
 };
@@ -67,13 +67,13 @@
     // Whether the report may be answered with the token alone. `cut_off`: neither the leader nor the state
     // service is heard.
     bool may_renew_cut_off(const wire::Report& report, TimePoint now, bool cut_off);
-    std::uint64_t token() const { return grant_.token; }
+    std::uint64_t fencing_token() const { return grant_.fencing_token; }
 
   private:
     std::string zone_;
     Clock::duration renewal_period_;
     std::optional<TimePoint> contact_;
-    TimePoint received_{}, abstains_until_{}, last_renewal_;
+    TimePoint received_{}, renewal_paused_until_{}, last_renewal_;
     RenewalGrant grant_;
     bool grant_is_remote_ = false;  // its stamp is another node's, and goes back with the heartbeat
 };
@@ -84,21 +84,21 @@
     // `nodes`: by name; their zones are not known before they say so, so that any may be theirs.
     // `token`: the term's first.
     RenewalBound(const std::set<std::string>& nodes, Clock::duration period, TimePoint acquired,
-                 std::uint64_t token);
+                 std::uint64_t fencing_token);
     // A heartbeat, and whether it is answered with a grant.
     void heard(const std::string& node, const Heartbeat& heartbeat, TimePoint now, bool granted);
-    std::uint64_t stamp(TimePoint now) const;
+    std::uint64_t timestamp_ms(TimePoint now) const;
     // The latest moment up to now at which a node may have renewed a lease in the zone by itself.
     TimePoint latest_renewal(const std::string& zone, TimePoint now) const;
 
   private:
     struct Node {
         std::optional<std::string> zone;
-        TimePoint last_renewal{}, abstains_until{}, grants_end{};
+        TimePoint last_renewal{}, renewal_paused_until{}, grants_end{};
     };
     Clock::duration renewal_period_;
     TimePoint acquired_;
-    std::uint64_t first_token_;
+    std::uint64_t first_fencing_token_;
     std::map<std::string, Node> nodes_;
 };
 
--- a/src/placement/attempts.cpp
+++ b/src/placement/attempts.cpp
@@ -116,7 +116,7 @@
     bool first = !m.up;
     std::string old_address = m.address;
     std::vector<Change> changes;
-    if (!m.apply(report, hello, first_token_, now, changes)) return false;
+    if (!m.apply(report, hello, first_fencing_token_, now, changes)) return false;
     if (first) {
         if (m.type.empty()) {
             m.type = report.type, m.zone = report.zone, m.spot = report.spot;
@@ -264,7 +264,7 @@
                 // A late report of a machine that a predecessor returned may speak of the dead: only one that
                 // has shown this leader's token was heard of now.
                 if (o != other->entries.end() && o->second.phase == Phase::seen && !o->second.exited() &&
-                    other->token_seen >= first_token_ && number < a.number) {
+                    other->fencing_token_seen >= first_fencing_token_ && number < a.number) {
                     spdlog::error("{} is on {} and on {}", a.task.str(), name, m.name);
                     note_stop(m, a, e, 0, now, "also elsewhere");
                 }
@@ -344,12 +344,12 @@
             Entry& e = m.entries.at(c.attempt);
             e.phase = Phase::pushed;
             e.in_flight = true;
-            e.sent_token = token_;
+            e.sent_fencing_token = fencing_token_;
         }
     return out;
 }
 
-void Cluster::push_answered(Machine& m, const std::vector<wire::Command>& sent, std::uint64_t token,
+void Cluster::push_answered(Machine& m, const std::vector<wire::Command>& sent, std::uint64_t fencing_token,
                             bool executed, bool may_execute, TimePoint) {
     for (auto& c : sent) {
         if (c.verb != wire::Verb::launch) continue;
@@ -360,7 +360,7 @@
         if (executed) continue;  // the report that came with the answer has settled it, or will
         if (may_execute) {
             e.late = true;
-            e.sent_token = std::max(e.sent_token, token);
+            e.sent_fencing_token = std::max(e.sent_fencing_token, fencing_token);
         } else if (e.phase == Phase::pushed && !e.late) {
             e.phase = Phase::ready;
         }
@@ -370,7 +370,8 @@
 bool Cluster::unsettled(TimePoint now) const {
     for (auto& [name, m] : machines_)
         for (auto& [a, e] : m->entries)
-            if (e.late && e.sent_token >= token_ && m->token_seen <= e.sent_token && now - e.since > secs(3))
+            if (e.late && e.sent_fencing_token >= fencing_token_ &&
+                m->fencing_token_seen <= e.sent_fencing_token && now - e.since > secs(3))
                 return true;
     return false;
 }
--- a/src/placement/cluster.hpp
+++ b/src/placement/cluster.hpp
@@ -137,11 +137,11 @@
     const std::map<std::string, wire::MachineType>& types() const { return types_; }
 
     // The token that commands go out under, and when this leader began to lead.
-    void lead(std::uint64_t token, TimePoint acquired) {
-        token_ = token;
-        if (acquired_ == TimePoint{}) acquired_ = acquired, first_token_ = token;
+    void lead(std::uint64_t fencing_token, TimePoint acquired) {
+        fencing_token_ = fencing_token;
+        if (acquired_ == TimePoint{}) acquired_ = acquired, first_fencing_token_ = fencing_token;
     }
-    std::uint64_t token() const { return token_; }
+    std::uint64_t fencing_token() const { return fencing_token_; }
     TimePoint acquired() const { return acquired_; }
 
     // Quotas. `changed`: when a limit was last lowered, perhaps by a predecessor; what runs above it and
@@ -206,8 +206,8 @@
     // them.
     std::vector<wire::Command> reply_commands(Machine& m, TimePoint now, bool all = true);
     std::vector<wire::Command> push_commands(Machine& m, TimePoint now);
-    void push_answered(Machine& m, const std::vector<wire::Command>& sent, std::uint64_t token, bool executed,
-                       bool may_execute, TimePoint now);
+    void push_answered(Machine& m, const std::vector<wire::Command>& sent, std::uint64_t fencing_token,
+                       bool executed, bool may_execute, TimePoint now);
 
     // Time passing: leases that run out, stops that come due, gangs in trouble, faulty machines. True if
     // tasks were proven gone.
@@ -318,7 +318,7 @@
     bool trusted(const Machine& m, const Job& job, TimePoint now) const;
     bool may_reap(const Attempt& a, const Entry& e) const;
     double grace_for(const Job& job) const { return job.spec.checkpoint_s > 0 ? job.spec.save_s + 1.0 : 0.0; }
-    std::uint64_t next_attempt() { return (first_token_ << 20) + ++attempts_; }
+    std::uint64_t next_attempt() { return (first_fencing_token_ << 20) + ++attempts_; }
 
     // Whether its tasks should all have started by now, and could have.
     bool overdue(const Job& job, TimePoint now) const;
@@ -337,7 +337,7 @@
     std::vector<std::pair<quota::NodeId, wire::Resources>> promised_;
     TimePoint quotas_changed_{};
     double shrink_s_ = 120;
-    std::uint64_t token_ = 0, first_token_ = 0, attempts_ = 0;
+    std::uint64_t fencing_token_ = 0, first_fencing_token_ = 0, attempts_ = 0;
     TimePoint acquired_{}, distrust_until_{};
     Rooms rooms_;
     std::vector<Machine*> reserved_;  // in this round
--- a/src/settings/operator_settings.cpp
+++ b/src/settings/operator_settings.cpp
@@ -15,8 +15,8 @@
                                                                 : e.what());
     }
     if (auto v = wire::count(given, "queue_bound")) s.rules.queue_bound = *v;
-    if (auto v = wire::count(given, "leader_hold_ms")) s.leader_hold = std::chrono::milliseconds(*v);
-    if (auto v = wire::count(given, "promise_ms")) s.promise = std::chrono::milliseconds(*v);
+    if (auto v = wire::count(given, "leader_hold_ms")) s.leader_lease = std::chrono::milliseconds(*v);
+    if (auto v = wire::count(given, "promise_ms")) s.lease_vote = std::chrono::milliseconds(*v);
     if (auto v = wire::amount(given, "idle_return_s")) s.rules.idle_return_s = *v;
     if (auto v = wire::flag(given, "keep_leases")) s.renews_leases = *v;
     if (auto v = wire::count(given, "headroom_min")) s.rules.headroom_min = static_cast<std::uint32_t>(*v);
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -28,7 +28,7 @@
     double max_connections = 500;
     // Who changes quotas while running must know it; empty: nobody may.
     std::string operator_key;
-    std::chrono::milliseconds leader_hold{3000}, promise{2500};
+    std::chrono::milliseconds leader_lease{3000}, lease_vote{2500};
     // How far a machine's time of day may be off.
     std::chrono::milliseconds clock_error{1000};
     // Whether a node that is cut off together with workers keeps their leases for a while (src/leases).
--- a/src/state/records.cpp
+++ b/src/state/records.cpp
@@ -217,7 +217,7 @@
     return Json::array({r.name, r.address, r.type, r.zone, r.spot, r.rented_ms, std::move(attempts)});
 }
 
-std::optional<MachineRecord> parse_machine(const Json& value) {
+std::optional<MachineRecord> parse_machine_record(const Json& value) {
     if (!value.is_array() || value.size() < 7) return std::nullopt;
     for (std::size_t i = 0; i < 4; ++i)
         if (!value[i].is_string()) return std::nullopt;
@@ -245,7 +245,7 @@
     if (!value.is_array()) return std::nullopt;
     std::vector<MachineRecord> out;
     for (const Json& v : value) {
-        auto record = parse_machine(v);
+        auto record = parse_machine_record(v);
         if (!record) return std::nullopt;
         out.push_back(std::move(*record));
     }
@@ -264,10 +264,11 @@
 }
 
 Json to_json(const LeaderRecord& r) {
-    return Json{{"node", r.node}, {"incarnation", r.incarnation}, {"hold", r.hold}, {"stamp", r.stamp}};
+    return Json{
+        {"node", r.node}, {"incarnation", r.incarnation}, {"hold", r.lease_id}, {"stamp", r.refresh_count}};
 }
 
-std::optional<LeaderRecord> parse_leader(const Json& value) {
+std::optional<LeaderRecord> parse_leader_record(const Json& value) {
     auto node = wire::text(value, "node");
     if (!node) return std::nullopt;
     return LeaderRecord{*node, wire::text(value, "incarnation").value_or(""),
--- a/src/state/records.hpp
+++ b/src/state/records.hpp
@@ -101,7 +101,7 @@
     std::vector<wire::Attempt> attempts;  // may be on the machine
 };
 Json to_json(const MachineRecord& r);  // a list without field names: hundreds stand in a few values
-std::optional<MachineRecord> parse_machine(const Json& value);
+std::optional<MachineRecord> parse_machine_record(const Json& value);
 // A sheet is read whole or not at all.
 std::optional<std::vector<MachineRecord>> parse_sheet(const Json& value);
 
@@ -115,9 +115,9 @@
 
 struct LeaderRecord {
     std::string node, incarnation;
-    std::uint64_t hold = 0, stamp = 0;
+    std::uint64_t lease_id = 0, refresh_count = 0;
 };
 Json to_json(const LeaderRecord& r);
-std::optional<LeaderRecord> parse_leader(const Json& value);
+std::optional<LeaderRecord> parse_leader_record(const Json& value);
 
 }  // namespace barrowrun::state
--- a/src/state/state_client.cpp
+++ b/src/state/state_client.cpp
@@ -29,18 +29,18 @@
 void StateClient::note(const Reply& reply) {
     // 429 is an answer: the service is there.
     const bool answered = reply.status != 0 && reply.status != 503;
-    if (!answered && last_bad_ <= last_ok_) failing_since_ = Clock::now();
-    (answered ? last_ok_ : last_bad_) = Clock::now();
+    if (!answered && last_failure_ <= last_response_) failing_since_ = Clock::now();
+    (answered ? last_response_ : last_failure_) = Clock::now();
     if (auto line = reach_.note(answered, Clock::now())) spdlog::warn("{}", *line);
 }
 
 Task<Reply> StateClient::call(verb method, std::string target, std::optional<Json> body,
-                              Clock::duration deadline, Pace pace) {
-    if (pace == Pace::budgeted) {
+                              Clock::duration deadline, Throttle throttle) {
+    if (throttle == Throttle::wait) {
         auto wait = requests_.reserve(Clock::now(), 1);
         if (wait > Clock::duration::zero()) co_await net::sleep_for(wait);
     }
-    if (pace == Pace::ahead) requests_.reserve(Clock::now(), 1);
+    if (throttle == Throttle::charge_only) requests_.reserve(Clock::now(), 1);
     auto reply =
         co_await client_.call(address_, method, std::move(target), std::move(body), deadline, 8 << 20);
     note(reply);
@@ -58,15 +58,15 @@
 }
 }  // namespace
 
-Task<bool> StateClient::lookup_turn() {
+Task<bool> StateClient::admit_lookup() {
     auto wait = lookups_.reserve_within(Clock::now(), requests_of_a_lookup, longest_lookup_wait);
     if (!wait) co_return false;
     if (*wait > Clock::duration::zero()) co_await net::sleep_for(*wait);
     co_return true;
 }
 
-Task<Value> StateClient::get(std::string key, Clock::duration deadline, Pace pace) {
-    auto reply = co_await call(verb::get, "/kv/" + key, std::nullopt, deadline, pace);
+Task<Value> StateClient::get(std::string key, Clock::duration deadline, Throttle throttle) {
+    auto reply = co_await call(verb::get, "/kv/" + key, std::nullopt, deadline, throttle);
     Value out;
     out.outcome = outcome_of(reply);
     if (out.outcome == Outcome::ok) {
@@ -87,13 +87,14 @@
     co_return out;
 }
 
-Task<Listing> StateClient::list(std::string prefix, Pace pace) {
+Task<Listing> StateClient::list(std::string prefix, Throttle throttle) {
     Listing out;
     std::string after;
     for (;;) {
         std::string target = "/kv?under=" + prefix + "&page=1000";
         if (!after.empty()) target += "&since=" + after;
-        auto reply = co_await call(verb::get, target, std::nullopt, std::chrono::milliseconds(2500), pace);
+        auto reply =
+            co_await call(verb::get, target, std::nullopt, std::chrono::milliseconds(2500), throttle);
         const Json* entries = reply.status == 200 ? wire::find(reply.body, "entries") : nullptr;
         if (!entries || !entries->is_array()) co_return Listing{};
         if (out.revision == 0) out.revision = wire::count(reply.body, "ledger").value_or(0);
@@ -122,26 +123,27 @@
     co_return out;
 }
 
-Task<TxnResult> StateClient::txn(std::vector<Condition> conditions, std::vector<Operation> operations,
-                                 Clock::duration deadline, Pace pace) {
+Task<CompareAndSwapResult> StateClient::compare_and_swap(std::vector<Precondition> preconditions,
+                                                         std::vector<Operation> operations,
+                                                         Clock::duration deadline, Throttle throttle) {
     Json conds = Json::array(), ops = Json::array();
-    for (auto& c : conditions) conds.push_back({{"key", c.key}, {"mark", c.version}});
+    for (auto& c : preconditions) conds.push_back({{"key", c.key}, {"mark", c.version}});
     for (auto& o : operations) {
         if (!o.value) {
             ops.push_back({{"drop", o.key}});
             continue;
         }
         Json set{{"set", o.key}, {"value", std::move(*o.value)}};
-        if (o.hold) set["permit"] = o.hold;
+        if (o.lease_id) set["permit"] = o.lease_id;
         ops.push_back(std::move(set));
     }
-    if (pace != Pace::free) {
+    if (throttle != Throttle::exempt) {
         auto wait = writes_.reserve(Clock::now(), static_cast<double>(operations.size()));
-        if (pace == Pace::budgeted && wait > Clock::duration::zero()) co_await net::sleep_for(wait);
+        if (throttle == Throttle::wait && wait > Clock::duration::zero()) co_await net::sleep_for(wait);
     }
     Json body{{"if", std::move(conds)}, {"then", std::move(ops)}};
-    auto reply = co_await call(verb::post, "/multi", std::move(body), deadline, pace);
-    TxnResult out;
+    auto reply = co_await call(verb::post, "/multi", std::move(body), deadline, throttle);
+    CompareAndSwapResult out;
     out.outcome = outcome_of(reply);
     if (out.outcome == Outcome::absent) out.outcome = Outcome::refused;
     out.revision = wire::count(reply.body, "ledger").value_or(0);
@@ -149,34 +151,34 @@
     co_return out;
 }
 
-Task<std::optional<std::uint64_t>> StateClient::create_hold(Clock::duration ttl) {
+Task<std::optional<std::uint64_t>> StateClient::create_lease(Clock::duration ttl) {
     Json body{{"ttl_ms", std::chrono::duration_cast<std::chrono::milliseconds>(ttl).count()}};
-    auto reply =
-        co_await call(verb::post, "/holds", std::move(body), std::chrono::milliseconds(1000), Pace::free);
+    auto reply = co_await call(verb::post, "/holds", std::move(body), std::chrono::milliseconds(1000),
+                               Throttle::exempt);
     if (reply.status != 200) co_return std::nullopt;
     co_return wire::count(reply.body, "permit");
 }
 
-Task<Outcome> StateClient::extend_hold(std::uint64_t hold, Clock::duration deadline) {
+Task<Outcome> StateClient::extend_lease(std::uint64_t lease_id, Clock::duration deadline) {
     Json body = Json::object();
-    auto reply = co_await call(verb::post, "/holds/" + std::to_string(hold) + "/extend", std::move(body),
-                               deadline, Pace::free);
+    auto reply = co_await call(verb::post, "/holds/" + std::to_string(lease_id) + "/extend", std::move(body),
+                               deadline, Throttle::exempt);
     co_return outcome_of(reply);
 }
 
-Task<Outcome> StateClient::end_hold(std::uint64_t hold) {
-    auto reply = co_await call(verb::delete_, "/holds/" + std::to_string(hold), std::nullopt,
-                               std::chrono::milliseconds(1000), Pace::free);
+Task<Outcome> StateClient::revoke_lease(std::uint64_t lease_id) {
+    auto reply = co_await call(verb::delete_, "/holds/" + std::to_string(lease_id), std::nullopt,
+                               std::chrono::milliseconds(1000), Throttle::exempt);
     co_return outcome_of(reply);
 }
 
 Task<WatchResult> StateClient::watch(std::string prefix, std::uint64_t since, Clock::duration wait,
-                                     Pace pace) {
+                                     Throttle throttle) {
     auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(wait).count();
     std::string target =
         "/follow?under=" + prefix + "&since=" + std::to_string(since) + "&wait_ms=" + std::to_string(ms);
     // Watches do not count for or against the service: they stay open, silent, during an outage.
-    if (pace != Pace::free) {
+    if (throttle != Throttle::exempt) {
         auto delay = requests_.reserve(Clock::now(), 1);
         if (delay > Clock::duration::zero()) co_await net::sleep_for(delay);
     }
--- a/src/state/state_client.hpp
+++ b/src/state/state_client.hpp
@@ -26,7 +26,7 @@
     std::uint64_t version = 0;
 };
 
-struct Item {
+struct KeyValue {
     std::string key;
     Json value;
     std::uint64_t version = 0;
@@ -34,7 +34,7 @@
 
 struct Listing {
     bool ok = false;
-    std::vector<Item> items;
+    std::vector<KeyValue> items;
     std::uint64_t revision = 0;  // of the first page: a watch from there misses nothing
 };
 
@@ -43,7 +43,7 @@
     Listing jobs, progress, sheets, hires;
 };
 
-struct Condition {
+struct Precondition {
     std::string key;
     std::uint64_t version = 0;
 };
@@ -51,20 +51,20 @@
 struct Operation {
     std::string key;
     std::optional<Json> value;  // absent: delete
-    std::uint64_t hold = 0;
+    std::uint64_t lease_id = 0;
 };
 
-struct TxnResult {
+struct CompareAndSwapResult {
     Outcome outcome = Outcome::unknown;
     std::uint64_t revision = 0;
 };
 
 // How a request stands to the rates that the state service sets.
-enum class Pace {
-    budgeted,  // waits for its turn
-    ahead,     // a user waits for it: charged, so that what follows waits, but sent at once
-    free,      // who leads, and its hold: the budget leaves room for it
-    lookup,    // belongs to a look-up, which has had its turn (`lookup_turn`)
+enum class Throttle {
+    wait,             // waits for its turn
+    charge_only,      // a user waits for it: charged, so that what follows waits, but sent at once
+    exempt,           // who leads, and its hold: the budget leaves room for it
+    admitted_lookup,  // belongs to a look-up, which has had its turn (`admit_lookup`)
 };
 
 struct Event {
@@ -85,40 +85,41 @@
     StateClient(net::asio::io_context& io, std::string address, double rps, double write_rps,
                 std::size_t nodes = 1);
     Task<Value> get(std::string key, Clock::duration deadline = std::chrono::milliseconds(1500),
-                    Pace pace = Pace::budgeted);
+                    Throttle throttle = Throttle::wait);
     // Users' questions that only the service can answer share a part of its rate. Waits for the turn of one,
-    // which has to be answered with `Pace::lookup`; false: there are more than can be answered in time.
-    // Unbounded, and beside the leader's own requests, they used up the service's rate, and nobody could win
-    // or hold the lead any more (docs/incidents/questions-over-the-rate.md).
-    Task<bool> lookup_turn();
-    Task<Listing> list(std::string prefix, Pace pace = Pace::budgeted);
+    // which has to be answered with `Throttle::admitted_lookup`; false: there are more than can be answered
+    // in time. Unbounded, and beside the leader's own requests, they used up the service's rate, and nobody
+    // could win or hold the lead any more (docs/incidents/questions-over-the-rate.md).
+    Task<bool> admit_lookup();
+    Task<Listing> list(std::string prefix, Throttle throttle = Throttle::wait);
     // Everything, or nothing if any part could not be read.
     Task<std::optional<Snapshot>> snapshot();
-    Task<TxnResult> txn(std::vector<Condition> conditions, std::vector<Operation> operations,
-                        Clock::duration deadline = std::chrono::milliseconds(2000),
-                        Pace pace = Pace::budgeted);
-    Task<std::optional<std::uint64_t>> create_hold(Clock::duration ttl);
-    Task<Outcome> extend_hold(std::uint64_t hold, Clock::duration deadline);
-    Task<Outcome> end_hold(std::uint64_t hold);
+    Task<CompareAndSwapResult> compare_and_swap(std::vector<Precondition> preconditions,
+                                                std::vector<Operation> operations,
+                                                Clock::duration deadline = std::chrono::milliseconds(2000),
+                                                Throttle throttle = Throttle::wait);
+    Task<std::optional<std::uint64_t>> create_lease(Clock::duration ttl);
+    Task<Outcome> extend_lease(std::uint64_t lease_id, Clock::duration deadline);
+    Task<Outcome> revoke_lease(std::uint64_t lease_id);
     Task<WatchResult> watch(std::string prefix, std::uint64_t since, Clock::duration wait,
-                            Pace pace = Pace::budgeted);
+                            Throttle throttle = Throttle::wait);
 
     // How the service answers this node: used for health, and for judging whether others fare better.
-    bool answers(TimePoint now) const {
-        return last_ok_ >= last_bad_ || now - last_ok_ < std::chrono::milliseconds(1500);
+    bool responsive(TimePoint now) const {
+        return last_response_ >= last_failure_ || now - last_response_ < std::chrono::milliseconds(1500);
     }
-    TimePoint last_ok() const { return last_ok_; }
+    TimePoint last_response() const { return last_response_; }
     // Since when it has only failed; meaningless while it answers.
     TimePoint failing_since() const { return failing_since_; }
 
   private:
     Task<net::Reply> call(net::http::verb method, std::string target, std::optional<Json> body,
-                          Clock::duration deadline, Pace pace = Pace::budgeted);
+                          Clock::duration deadline, Throttle throttle = Throttle::wait);
     void note(const net::Reply& reply);
     std::string address_;
     net::HttpClient client_;
     net::RateBudget requests_, writes_, lookups_;
-    TimePoint last_ok_{}, last_bad_{}, failing_since_{};
+    TimePoint last_response_{}, last_failure_{}, failing_since_{};
     net::Reach reach_{"the state service"};
 };
 
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -67,7 +67,7 @@
     r.spot = flag(body, "loaners").value_or(false);
     r.session = *session;
     r.seq = *seq;
-    r.token = count(body, "baton").value_or(0);
+    r.fencing_token = count(body, "baton").value_or(0);
     r.notice_s = amount(body, "recall_s");
     if (!tasks) return r;
     for (const Json& t : *tasks) {
@@ -94,9 +94,10 @@
         if (t.saved) j["stored"] = true;
         tasks.push_back(std::move(j));
     }
-    Json out{{"barrow", r.machine}, {"endpoint", r.address},      {"build", r.type}, {"yard", r.zone},
-             {"loaners", r.spot},   {"shift", r.session},         {"tally", r.seq},  {"baton", r.token},
-             {"recall_s", nullptr}, {"parcels", std::move(tasks)}};
+    Json out{
+        {"barrow", r.machine}, {"endpoint", r.address},      {"build", r.type}, {"yard", r.zone},
+        {"loaners", r.spot},   {"shift", r.session},         {"tally", r.seq},  {"baton", r.fencing_token},
+        {"recall_s", nullptr}, {"parcels", std::move(tasks)}};
     if (r.notice_s) out["recall_s"] = *r.notice_s;
     return out;
 }
@@ -129,7 +130,7 @@
     }
     return out;
 }
-std::optional<std::uint64_t> parse_token(const Json& body) {
+std::optional<std::uint64_t> parse_fencing_token(const Json& body) {
     return count(body, "baton");
 }
 std::optional<std::uint64_t> parse_session(const Json& body) {
@@ -139,12 +140,12 @@
     return text(body, "foreman");
 }
 
-Json report_answer(std::uint64_t token, const std::vector<Command>& commands) {
-    return Json{{"baton", token}, {"orders", commands_json(commands)}};
+Json report_answer(std::uint64_t fencing_token, const std::vector<Command>& commands) {
+    return Json{{"baton", fencing_token}, {"orders", commands_json(commands)}};
 }
 
-Json push_body(std::uint64_t token, std::uint64_t session, const std::vector<Command>& commands) {
-    return Json{{"baton", token}, {"shift", session}, {"orders", commands_json(commands)}};
+Json push_body(std::uint64_t fencing_token, std::uint64_t session, const std::vector<Command>& commands) {
+    return Json{{"baton", fencing_token}, {"shift", session}, {"orders", commands_json(commands)}};
 }
 
 Json redirect_answer(const std::string& leader) {
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -48,7 +48,7 @@
 struct Report {
     std::string machine, address, type, zone;
     bool spot = false;
-    std::uint64_t session = 0, seq = 0, token = 0;
+    std::uint64_t session = 0, seq = 0, fencing_token = 0;
     std::optional<double> notice_s;
     std::vector<TaskStatus> tasks;
 };
@@ -67,11 +67,11 @@
 // Commands as a worker reads them, from an answer to a report or a push. Nothing for what isn't a list of
 // them.
 std::optional<std::vector<Command>> parse_commands(const Json& body);
-std::optional<std::uint64_t> parse_token(const Json& body);
+std::optional<std::uint64_t> parse_fencing_token(const Json& body);
 std::optional<std::uint64_t> parse_session(const Json& body);
 std::optional<std::string> parse_redirect(const Json& body);
-Json report_answer(std::uint64_t token, const std::vector<Command>& commands);
-Json push_body(std::uint64_t token, std::uint64_t session, const std::vector<Command>& commands);
+Json report_answer(std::uint64_t fencing_token, const std::vector<Command>& commands);
+Json push_body(std::uint64_t fencing_token, std::uint64_t session, const std::vector<Command>& commands);
 Json redirect_answer(const std::string& leader);  // empty: no leader known
 const char* cause_name(Cause cause);
 const char* state_name(TaskState state);
--- a/src/worker/agent.cpp
+++ b/src/worker/agent.cpp
@@ -163,7 +163,7 @@
         if (reply.status == 200) {
             auto commands = wire::parse_commands(reply.body);
             if (commands && !reply.garbage)
-                machine_.answered(wire::parse_token(reply.body), session, *commands, now, after);
+                machine_.answered(wire::parse_fencing_token(reply.body), session, *commands, now, after);
             changed();
             continue;
         }
@@ -201,11 +201,12 @@
     if (request.target != "/commands" || request.method != verb::post)
         co_return net::Response{404, {{"error", "no such path"}}};
     auto body = wire::decode(request.body);
-    auto token = body ? wire::parse_token(*body) : std::nullopt;
+    auto fencing_token = body ? wire::parse_fencing_token(*body) : std::nullopt;
     auto session = body ? wire::parse_session(*body) : std::nullopt;
     auto commands = body ? wire::parse_commands(*body) : std::nullopt;
-    if (!token || !session || !commands) co_return net::Response{400, {{"error", "baton, shift or orders"}}};
-    bool executed = machine_.commanded(*token, *session, *commands, now);
+    if (!fencing_token || !session || !commands)
+        co_return net::Response{400, {{"error", "baton, shift or orders"}}};
+    bool executed = machine_.commanded(*fencing_token, *session, *commands, now);
     changed();
     if (!executed && machine_.ending()) co_return net::Response{503, {{"error", "between two sessions"}}, 1};
     // A description is there within a moment: the answer should tell of a start rather than of a fetch.
--- a/src/worker/machine.cpp
+++ b/src/worker/machine.cpp
@@ -22,35 +22,35 @@
                        [](auto& kv) { return kv.second.state == TaskState::fetching; });
 }
 
-void Machine::learn(std::uint64_t token, TimePoint now) {
-    if (token <= token_) return;
-    token_ = token;
+void Machine::learn(std::uint64_t fencing_token, TimePoint now) {
+    if (fencing_token <= fencing_token_) return;
+    fencing_token_ = fencing_token;
     // A higher token counts as a change at most once in half of the lease.
-    if (token_change_ != TimePoint{} && now - token_change_ < times_.lease / 2) return;
-    token_change_ = now;
+    if (fencing_token_change_ != TimePoint{} && now - fencing_token_change_ < times_.lease / 2) return;
+    fencing_token_change_ = now;
     changed();
 }
 
-bool Machine::answered(std::optional<std::uint64_t> token, std::uint64_t session,
+bool Machine::answered(std::optional<std::uint64_t> fencing_token, std::uint64_t session,
                        const std::vector<wire::Command>& commands, TimePoint sent, TimePoint now) {
-    if (!token || *token < token_ || session != session_) return false;
+    if (!fencing_token || *fencing_token < fencing_token_ || session != session_) return false;
     // The lease may have run out while the answer was under way, and nobody has ticked since.
     if (now > lease_end()) {
         tick(now);
         return false;
     }
-    learn(*token, now);
+    learn(*fencing_token, now);
     renewed_ = std::max(renewed_, sent);
     execute(commands, now);
     return true;
 }
 
-bool Machine::commanded(std::uint64_t token, std::uint64_t session,
+bool Machine::commanded(std::uint64_t fencing_token, std::uint64_t session,
                         const std::vector<wire::Command>& commands, TimePoint now) {
     // A machine that hung past its lease must not obey before it has ended its session.
     tick(now);
-    if (token < token_ || session != session_ || ending()) return false;
-    learn(token, now);
+    if (fencing_token < fencing_token_ || session != session_ || ending()) return false;
+    learn(fencing_token, now);
     execute(commands, now);
     return true;
 }
@@ -226,7 +226,7 @@
     r.spot = spot_;
     r.session = session_;
     r.seq = ++seq_;
-    r.token = token_;
+    r.fencing_token = fencing_token_;
     if (recall_) r.notice_s = std::max(0.0, Seconds(*recall_ - now).count());
     for (auto& [a, t] : tasks_) r.tasks.push_back({a, t.state, t.cause, t.saved});
     return r;
--- a/src/worker/machine.hpp
+++ b/src/worker/machine.hpp
@@ -45,11 +45,11 @@
 
     // ---- commands. Executed in order, and only with a fitting token and session.
     // The answer to a report of this session, sent at `sent`. False: dropped, for a lower token or none.
-    bool answered(std::optional<std::uint64_t> token, std::uint64_t session,
+    bool answered(std::optional<std::uint64_t> fencing_token, std::uint64_t session,
                   const std::vector<wire::Command>& commands, TimePoint sent, TimePoint now);
     // Direct commands: they do not renew the lease. False: 409.
-    bool commanded(std::uint64_t token, std::uint64_t session, const std::vector<wire::Command>& commands,
-                   TimePoint now);
+    bool commanded(std::uint64_t fencing_token, std::uint64_t session,
+                   const std::vector<wire::Command>& commands, TimePoint now);
 
     // ---- what became of actions; for attempts forgotten meanwhile they change nothing.
     void fetched(const Attempt& a, const wire::JobSpec* spec, TimePoint now);  // null: no such job
@@ -83,7 +83,7 @@
     std::vector<Action> take_actions() { return std::exchange(actions_, {}); }
 
     std::uint64_t session() const { return session_; }
-    std::uint64_t token() const { return token_; }
+    std::uint64_t fencing_token() const { return fencing_token_; }
     TimePoint lease_end() const { return renewed_ + times_.lease; }
     const Times& times() const { return times_; }
 
@@ -102,7 +102,7 @@
     void stop(const Attempt& a, Task& t, Clock::duration grace, TimePoint now);
     void end(Task& t, Cause cause);
     void kill(const Attempt& a, Task& t, Cause cause);
-    void learn(std::uint64_t token, TimePoint now);
+    void learn(std::uint64_t fencing_token, TimePoint now);
     void changed() { has_change_ = true; }
     void expire(TimePoint now);
 
@@ -110,8 +110,8 @@
     bool spot_;
     wire::Resources capacity_;
     Times times_;
-    std::uint64_t session_, seq_ = 0, token_ = 0;
-    TimePoint renewed_, last_sent_{}, token_change_{};
+    std::uint64_t session_, seq_ = 0, fencing_token_ = 0;
+    TimePoint renewed_, last_sent_{}, fencing_token_change_{};
     bool has_change_ = true;
     std::optional<TimePoint> recall_;
     std::map<Attempt, Task> tasks_;
--- a/tests/cuts_test.cpp
+++ b/tests/cuts_test.cpp
@@ -47,13 +47,13 @@
     placement::Rules rules;
     TimePoint now = TimePoint{} + 1000s, cut_until{};
     std::int64_t wall = 1'000'000;
-    std::uint64_t token = 10;
+    std::uint64_t fencing_token = 10;
     std::unique_ptr<Cluster> cluster;
     Records records;
     struct Worker {
         std::string zone;
         double clock = 1;  // how fast its steady clock runs
-        std::uint64_t session = 1, seq = 0, token = 0;
+        std::uint64_t session = 1, seq = 0, fencing_token = 0;
         TimePoint renewed{};
         std::map<Attempt, std::pair<TaskState, Cause>> tasks;
     };
@@ -62,7 +62,7 @@
     // Messages that a cut holds back: pushes to the workers, reports to whoever leads by then.
     struct Held {
         std::string machine;
-        std::uint64_t token, session;
+        std::uint64_t fencing_token, session;
         std::vector<Command> commands;
         std::optional<Report> report;
     };
@@ -102,10 +102,11 @@
         booting[name] = up;
     }
     void lead() {
-        ++token;
+        ++fencing_token;
         cluster = std::make_unique<Cluster>(rules);
-        cluster->lead(token, now);
-        bound = std::make_unique<leases::RenewalBound>(std::set<std::string>{"south"}, keep, now, token);
+        cluster->lead(fencing_token, now);
+        bound =
+            std::make_unique<leases::RenewalBound>(std::set<std::string>{"south"}, keep, now, fencing_token);
         cluster->set_types({{"small", 4, 0, 32, 30, 0.5, 1.0, 0.2, 25, {"a", "b"}}});
         records.read_into(*cluster, now, wall);
         // Whatever its records don't say the cloud lists.
@@ -154,14 +155,15 @@
         if (how == 0) return;  // lost
         bound->heard("south", heartbeat, now, true);
         if (how == 1) return;  // its answer is
-        node->granted(now, now, {token, bound->stamp(now), false, cluster->holding_cancelled()});
+        node->granted(now, now,
+                      {fencing_token, bound->timestamp_ms(now), false, cluster->holding_cancelled()});
     }
     // Cut off with its zone, the node answers its workers by itself as far as it may.
     void keep_lease(const std::string& name) {
         Worker& w = workers[name];
         if (booting.contains(name) || !cut(w) || !node->may_renew_cut_off(report(name), now, true)) return;
-        if (node->token() < w.token) return;  // dropped
-        w.token = node->token();
+        if (node->fencing_token() < w.fencing_token) return;  // dropped
+        w.fencing_token = node->fencing_token();
         w.renewed = now;
         ++kept;
     }
@@ -176,22 +178,22 @@
                 m->last_answer = now;
             }
         } else {
-            execute(h.machine, h.token, h.session, h.commands);
+            execute(h.machine, h.fencing_token, h.session, h.commands);
         }
     }
     Report report(const std::string& name) {
         Worker& w = workers[name];
         Report r;
         r.machine = name, r.address = "127.0.0.1:9", r.type = "small", r.zone = w.zone;
-        r.session = w.session, r.seq = ++w.seq, r.token = w.token;
+        r.session = w.session, r.seq = ++w.seq, r.fencing_token = w.fencing_token;
         for (auto& [a, s] : w.tasks) r.tasks.push_back({a, s.first, s.second, false});
         return r;
     }
     bool execute(const std::string& name, std::uint64_t under, std::uint64_t session,
                  const std::vector<Command>& commands) {
         Worker& w = workers[name];
-        if (under < w.token || session != w.session) return false;
-        w.token = under;
+        if (under < w.fencing_token || session != w.session) return false;
+        w.fencing_token = under;
         for (auto& c : commands) {
             auto it = w.tasks.find(c.attempt);
             if (c.verb == Verb::launch && it == w.tasks.end()) start(name, w, c.attempt);
@@ -242,7 +244,7 @@
         m->last_answer = now;
         auto commands = cluster->reply_commands(*m, now);
         if (pick(8) == 0) return;  // the answer is lost, or comes after four seconds
-        if (execute(name, token, w.session, commands)) w.renewed = sent;
+        if (execute(name, fencing_token, w.session, commands)) w.renewed = sent;
     }
     void push(const std::string& name) {
         auto* m = cluster->find_machine(name);
@@ -250,19 +252,20 @@
         std::vector<Command> commands;
         if (m->up) commands = cluster->push_commands(*m, now);
         Worker& w = workers[name];
-        if (booting.contains(name)) return cluster->push_answered(*m, commands, token, false, false, now);
+        if (booting.contains(name))
+            return cluster->push_answered(*m, commands, fencing_token, false, false, now);
         if (cut(w)) {
-            held.push_back({name, token, m->session, commands, {}});
-            return cluster->push_answered(*m, commands, token, false, true, now);
+            held.push_back({name, fencing_token, m->session, commands, {}});
+            return cluster->push_answered(*m, commands, fencing_token, false, true, now);
         }
         auto how = pick(8);
         if (how == 0) {  // late, or lost: nobody can tell
-            if (pick(2)) late.push_back({name, token, m->session, commands, {}});
-            return cluster->push_answered(*m, commands, token, false, true, now);
+            if (pick(2)) late.push_back({name, fencing_token, m->session, commands, {}});
+            return cluster->push_answered(*m, commands, fencing_token, false, true, now);
         }
-        bool ok = execute(name, token, m->session, commands);
-        if (how == 1) return cluster->push_answered(*m, commands, token, false, true, now);
-        cluster->push_answered(*m, commands, token, ok, false, now);
+        bool ok = execute(name, fencing_token, m->session, commands);
+        if (how == 1) return cluster->push_answered(*m, commands, fencing_token, false, true, now);
+        cluster->push_answered(*m, commands, fencing_token, ok, false, now);
         cluster->on_report(report(name), false, now);
     }
     void write(bool crash) {
@@ -375,7 +378,7 @@
                         cancelled.try_emplace(it->first, now);
                     }
                 }
-                if (cluster->unsettled(now)) cluster->lead(++token, now);  // the token is renewed
+                if (cluster->unsettled(now)) cluster->lead(++fencing_token, now);  // the token is renewed
                 if (pick(12) == 0) successor();
         }
     }
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -175,8 +175,9 @@
                                  rewrite_by(state::parse_sheet, machines_json));
     golden.message_and_malformed("rental-of-unknown-outcome", to_json(state::HireRecord{"g8", "a", true, 50}),
                                  rewrite_by(state::parse_hire, [](auto& value) { return to_json(value); }));
-    golden.message_and_malformed("leader", to_json(state::LeaderRecord{"barrow-0", "i-1", 77, 41}),
-                                 rewrite_by(state::parse_leader, [](auto& value) { return to_json(value); }));
+    golden.message_and_malformed(
+        "leader", to_json(state::LeaderRecord{"barrow-0", "i-1", 77, 41}),
+        rewrite_by(state::parse_leader_record, [](auto& value) { return to_json(value); }));
     golden.message("machine-types", wire::types_json(testing::sample_machine_types()),
                    rewrite_by(wire::parse_types, wire::types_json));
 }
--- a/tests/golden_wire_test.cpp
+++ b/tests/golden_wire_test.cpp
@@ -49,19 +49,19 @@
 
 /// An answer to a worker's report, as the worker reads it.
 std::optional<Json> rewrite_report_answer(const Json& document) {
-    auto token = wire::parse_token(document);
+    auto fencing_token = wire::parse_fencing_token(document);
     auto commands = wire::parse_commands(document);
-    if (!token || !commands) return std::nullopt;
-    return wire::report_answer(*token, *commands);
+    if (!fencing_token || !commands) return std::nullopt;
+    return wire::report_answer(*fencing_token, *commands);
 }
 
 /// Commands that are pushed to a worker, as it reads them.
 std::optional<Json> rewrite_push(const Json& document) {
-    auto token = wire::parse_token(document);
+    auto fencing_token = wire::parse_fencing_token(document);
     auto session = wire::parse_session(document);
     auto commands = wire::parse_commands(document);
-    if (!token || !session || !commands) return std::nullopt;
-    return wire::push_body(*token, *session, *commands);
+    if (!fencing_token || !session || !commands) return std::nullopt;
+    return wire::push_body(*fencing_token, *session, *commands);
 }
 
 std::optional<Json> rewrite_rent(const Json& document) {
--- a/tests/guarantees_test.cpp
+++ b/tests/guarantees_test.cpp
@@ -56,10 +56,10 @@
                 else
                     tasks.push_back({a, TaskState::running, Cause::none, false});
             }
-            cluster->push_answered(*m, commands, cluster->token(), true, false, now);
-            cluster->on_report(report(name, tasks, cluster->token(), m->zone), false, now);
+            cluster->push_answered(*m, commands, cluster->fencing_token(), true, false, now);
+            cluster->on_report(report(name, tasks, cluster->fencing_token(), m->zone), false, now);
             std::erase_if(tasks, [](auto& t) { return t.state == TaskState::exited; });
-            cluster->on_report(report(name, tasks, cluster->token(), m->zone), true, now);
+            cluster->on_report(report(name, tasks, cluster->fencing_token(), m->zone), true, now);
         }
     }
 };
@@ -281,17 +281,17 @@
     quota::TreePtr tree;
     TimePoint now = TimePoint{} + 1000s, changed{};
     std::int64_t wall = 1'000'000;
-    std::uint64_t token = 10;
+    std::uint64_t fencing_token = 10;
     std::unique_ptr<Cluster> cluster;
     Records records;
     struct Worker {
-        std::uint64_t seq = 0, token = 0;
+        std::uint64_t seq = 0, fencing_token = 0;
         std::map<Attempt, std::pair<TaskState, Cause>> tasks;
     };
     std::map<std::string, Worker> workers;
     struct Late {
         std::string machine;
-        std::uint64_t token;
+        std::uint64_t fencing_token;
         std::vector<Command> commands;
     };
     std::vector<Late> late;
@@ -324,7 +324,7 @@
     }
     void lead() {
         cluster = std::make_unique<Cluster>(rules);
-        cluster->lead(token, now);
+        cluster->lead(fencing_token, now);
         cluster->set_types({{"small", 4, 0, 32, 30, 0.5, 1.0, 0.2, 25, {"a"}}});
         cluster->set_quotas(tree, changed, 5);
         records.read_into(*cluster, now, wall);
@@ -333,14 +333,14 @@
         Worker& w = workers[name];
         Report r;
         r.machine = name, r.address = "127.0.0.1:9", r.type = "small", r.zone = "a";
-        r.session = 1, r.seq = ++w.seq, r.token = w.token;
+        r.session = 1, r.seq = ++w.seq, r.fencing_token = w.fencing_token;
         for (auto& [a, s] : w.tasks) r.tasks.push_back({a, s.first, s.second, false});
         return r;
     }
     bool execute(const std::string& name, std::uint64_t under, const std::vector<Command>& commands) {
         Worker& w = workers[name];
-        if (under < w.token) return false;
-        w.token = under;
+        if (under < w.fencing_token) return false;
+        w.fencing_token = under;
         for (auto& c : commands) {
             auto it = w.tasks.find(c.attempt);
             if (c.verb == Verb::launch && it == w.tasks.end()) {
@@ -378,12 +378,12 @@
         }
     }
     void successor() {
-        ++token;
+        ++fencing_token;
         lead();
         for (auto& n : tree->nodes()) force[n.path] = std::max(n.limit.cpus, used(n.path));
         for (auto& [name, w] : workers)
             if (pick(2)) {
-                execute(name, token, {});
+                execute(name, fencing_token, {});
                 cluster->on_report(report(name), false, now);
             }
     }
@@ -393,16 +393,16 @@
         auto commands = cluster->push_commands(*m, now);
         auto how = pick(8);
         if (how == 0) {  // lost for good, or late: nobody can tell
-            if (pick(2)) late.push_back({name, token, commands});
-            cluster->push_answered(*m, commands, token, false, true, now);
+            if (pick(2)) late.push_back({name, fencing_token, commands});
+            cluster->push_answered(*m, commands, fencing_token, false, true, now);
             return;
         }
-        bool ok = execute(name, token, commands);
+        bool ok = execute(name, fencing_token, commands);
         if (how == 1) {  // executed, the answer is lost
-            cluster->push_answered(*m, commands, token, false, true, now);
+            cluster->push_answered(*m, commands, fencing_token, false, true, now);
             return;
         }
-        cluster->push_answered(*m, commands, token, ok, false, now);
+        cluster->push_answered(*m, commands, fencing_token, ok, false, now);
         cluster->on_report(report(name), false, now);
     }
     void step() {
@@ -449,14 +449,14 @@
                 if (pick(4) == 0) break;  // lost
                 cluster->on_report(r, true, now);
                 auto commands = cluster->reply_commands(*cluster->find_machine(name), now);
-                if (pick(6)) execute(name, token, commands);
+                if (pick(6)) execute(name, fencing_token, commands);
                 break;
             }
             case 9:
                 if (!late.empty()) {
                     auto l = late.front();
                     late.erase(late.begin());
-                    execute(l.machine, l.token, l.commands);
+                    execute(l.machine, l.fencing_token, l.commands);
                 }
                 break;
             case 10:
@@ -552,7 +552,7 @@
             auto wrong = w.wrong();
             ASSERT_EQ(wrong, "") << "seed " << seed << ", step " << step;
         }
-        takeovers += w.token - 10;
+        takeovers += w.fencing_token - 10;
         for (auto& [name, worker] : w.workers) started += worker.tasks.size();
     }
     EXPECT_GT(started, histories);
--- a/tests/promises_test.cpp
+++ b/tests/lease_votes_test.cpp
@@ -9,7 +9,7 @@
 #include <optional>
 #include <random>
 
-#include "election/authority.hpp"
+#include "election/leader_lease.hpp"
 
 using namespace barrowrun;
 using namespace barrowrun::election;
@@ -19,7 +19,7 @@
 
 const TimePoint t0 = TimePoint{} + 100s;
 const std::array<std::string, 3> names{"a", "b", "c"};
-constexpr auto promise_length = 2500ms;
+constexpr auto vote_duration = 2500ms;
 
 // `mistake`: which rule is left out, to see that the check finds it.
 enum class Mistake { none, not_heard, freed_by_any };
@@ -28,11 +28,11 @@
     struct Process {
         std::size_t node;
         double rate;  // of its clock
-        Abstention abstention;
+        LeaseVoter lease_voter;
         bool elected = false;
-        std::optional<Authority> authority;
+        std::optional<LeaderLease> leader_lease;
         Process(std::size_t n, double r, TimePoint begun, const std::set<std::string>& others)
-            : node(n), rate(r), abstention(begun, promise_length, others) {}
+            : node(n), rate(r), lease_voter(begun, vote_duration, others) {}
     };
     struct Message {
         Clock::duration due;
@@ -65,8 +65,8 @@
     }
     void lead(Process& p) {
         p.elected = true;
-        p.authority.emplace(2);
-        p.authority->hold_extended(local(p), 1s);
+        p.leader_lease.emplace(2);
+        p.leader_lease->extended(local(p), 1s);
     }
     // A question by the process, and its answer, which comes only while it is the same process.
     void ask(const std::shared_ptr<Process>& from, std::size_t to,
@@ -110,37 +110,38 @@
                     ask(p, to, [this, p, to, time](Process& q) -> std::function<void()> {
                         const bool elected = q.elected;
                         return [this, p, to, time, elected] {
-                            p->abstention.said(names[to], elected, time);
+                            p->lease_voter.peer_reported(names[to], elected, time);
                             if (mistake == Mistake::freed_by_any)
-                                for (auto& other : names) p->abstention.said(other, elected, time);
+                                for (auto& other : names) p->lease_voter.peer_reported(other, elected, time);
                         };
                     });
                 if (p->elected && one_in(12))
                     ask(p, to, [this, p, to, time](Process& q) -> std::function<void()> {
                         if (q.elected) return [] {};
-                        q.abstention.promise(local(q), promise_length);
+                        q.lease_voter.grant(local(q), vote_duration);
                         return [p, to, time] {
-                            if (p->elected) p->authority->promised(names[to], time, promise_length);
+                            if (p->elected) p->leader_lease->vote_granted(names[to], time, vote_duration);
                         };
                     });
             }
-            if (p->elected && !p->authority->holds(time) && one_in(5)) {
-                p->authority->lose();
+            if (p->elected && !p->leader_lease->valid(time) && one_in(5)) {
+                p->leader_lease->revoke();
                 p->elected = false;
             }
             // The key is gone, so whoever is free may take the lead.
             const bool free =
-                mistake == Mistake::not_heard ? now > 20ms && !p->elected : p->abstention.free(time);
+                mistake == Mistake::not_heard ? now > 20ms && !p->elected : p->lease_voter.may_campaign(time);
             if (!p->elected && free && one_in(20)) {
                 // As long as the service keeps the last hold nobody can.
                 bool held = std::any_of(at.begin(), at.end(), [&](auto& q) {
-                    return q && q->elected && local(*q) < q->authority->hold_until() + 25ms;
+                    return q && q->elected && local(*q) < q->leader_lease->expiry() + 25ms;
                 });
                 if (!held) lead(*p), ++taken;
             }
         }
-        two += std::count_if(at.begin(), at.end(),
-                             [&](auto& q) { return q && q->elected && q->authority->holds(local(*q)); }) > 1;
+        two += std::count_if(at.begin(), at.end(), [&](auto& q) {
+                   return q && q->elected && q->leader_lease->valid(local(*q));
+               }) > 1;
     }
 };
 
@@ -161,31 +162,31 @@
 
 }  // namespace
 
-TEST(Promises, NobodyTakesTheLeadThatAnotherCountsOn) {
+TEST(LeaseVotes, AtMostOneNodeHoldsAValidLease) {
     auto sum = play(1500, Mistake::none);
     EXPECT_EQ(sum.two, 0);
     EXPECT_GT(sum.taken, 1500);
 }
 
-TEST(Promises, TheHistoriesFindWhatIsLeftOut) {
+TEST(LeaseVotes, TheHistoriesFindOmittedRules) {
     EXPECT_GT(play(300, Mistake::not_heard).two, 0);
     EXPECT_GT(play(300, Mistake::freed_by_any).two, 0);
 }
 
-TEST(Abstention, EndsWhenEveryOtherNodeHasSaidThatItDoesNotLead) {
-    Abstention a(t0, 2500ms, {"b", "c"});
-    EXPECT_FALSE(a.free(t0 + 100ms));
-    a.said("b", false, t0 + 100ms);
-    a.said("c", true, t0 + 100ms);
-    EXPECT_FALSE(a.free(t0 + 200ms)) << "one leads";
-    EXPECT_TRUE(a.free(t0 + 2600ms));
-    Abstention late(t0, 2500ms, {"b", "c"});
-    late.said("b", false, t0 + 100ms);
-    late.said("c", false, t0 - 1ms);
-    EXPECT_FALSE(late.free(t0 + 200ms)) << "an answer to a predecessor's question";
-    late.said("c", false, t0 + 150ms);
-    EXPECT_TRUE(late.free(t0 + 200ms));
+TEST(LeaseVoter, IsFreedOnceEveryOtherNodeHasReportedThatItDoesNotLead) {
+    LeaseVoter a(t0, 2500ms, {"b", "c"});
+    EXPECT_FALSE(a.may_campaign(t0 + 100ms));
+    a.peer_reported("b", false, t0 + 100ms);
+    a.peer_reported("c", true, t0 + 100ms);
+    EXPECT_FALSE(a.may_campaign(t0 + 200ms)) << "one leads";
+    EXPECT_TRUE(a.may_campaign(t0 + 2600ms));
+    LeaseVoter late(t0, 2500ms, {"b", "c"});
+    late.peer_reported("b", false, t0 + 100ms);
+    late.peer_reported("c", false, t0 - 1ms);
+    EXPECT_FALSE(late.may_campaign(t0 + 200ms)) << "an answer to a predecessor's question";
+    late.peer_reported("c", false, t0 + 150ms);
+    EXPECT_TRUE(late.may_campaign(t0 + 200ms));
     // Its own promises bind as ever.
-    late.promise(t0 + 300ms, 2500ms);
-    EXPECT_FALSE(late.free(t0 + 1s));
+    late.grant(t0 + 300ms, 2500ms);
+    EXPECT_FALSE(late.may_campaign(t0 + 1s));
 }
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -9,28 +9,28 @@
 
 namespace {
 
-struct Kept : ::testing::Test {
+struct LeaseRenewal : ::testing::Test {
     TimePoint now = TimePoint{} + 1000s;
     Clock::duration keep = renewal_period(20, 40);
     RenewalBound bound{{"north", "south"}, keep, now, 7};
     LeaseRenewer renewer{"b", keep, now - 100s};
     wire::Report report() {
         wire::Report r;
-        r.machine = "n-1", r.zone = "b", r.token = 7;
+        r.machine = "n-1", r.zone = "b", r.fencing_token = 7;
         return r;
     }
     // A heartbeat that gets through, and the answer to it.
     void exchange(std::set<std::string> but = {}) {
         auto heartbeat = renewer.heartbeat(now);
         bound.heard("south", heartbeat, now, true);
-        renewer.granted(now, now, {7, bound.stamp(now), false, std::move(but)});
+        renewer.granted(now, now, {7, bound.timestamp_ms(now), false, std::move(but)});
     }
 };
 
 }  // namespace
 
 // However long it was cut off, what a node kept is over `cancel_s` after the last word of its leader.
-TEST_F(Kept, NothingIsKeptForLongerThanACancellationMayTake) {
+TEST_F(LeaseRenewal, NothingIsRenewedForLongerThanACancellationMayTake) {
     EXPECT_LT(keep + longer(20s), 40s);
     EXPECT_EQ(renewal_period(30, 25), Clock::duration::zero()) << "no room for it at all";
     exchange();
@@ -48,7 +48,7 @@
     EXPECT_FALSE(renewer.may_renew_cut_off(report(), now, true));
 }
 
-TEST_F(Kept, OnlyForWorkersOfItsZoneThatTakeItsTokenAndHoldNothingCancelled) {
+TEST_F(LeaseRenewal, OnlyForWorkersOfItsZoneThatTakeItsTokenAndHoldNothingCancelled) {
     EXPECT_FALSE(renewer.may_renew_cut_off(report(), now, true)) << "no leader has entitled it";
     exchange({"n-2"});
     now += 4s;
@@ -56,7 +56,7 @@
     EXPECT_TRUE(renewer.may_renew_cut_off(r, now, true));
     r.zone = "a";
     EXPECT_FALSE(renewer.may_renew_cut_off(r, now, true));
-    r = report(), r.token = 8;
+    r = report(), r.fencing_token = 8;
     EXPECT_FALSE(renewer.may_renew_cut_off(r, now, true)) << "the worker would drop it, and stay";
     r = report(), r.machine = "n-2";
     EXPECT_FALSE(renewer.may_renew_cut_off(r, now, true)) << "it may hold a task of a cancelled job";
@@ -67,7 +67,7 @@
 
 // A leader that has not read the records yet is no better off than a node that was cut off: see
 // docs/incidents/unread-leader.md.
-TEST_F(Kept, WhatIsNotReadIsRenewedOnlyFromTheLastContact) {
+TEST_F(LeaseRenewal, WhatIsNotReadIsRenewedOnlyFromTheLastContact) {
     EXPECT_FALSE(renewer.may_renew("n-1", now)) << "a fresh process knows of no cancellation";
     exchange({"n-2"});
     const auto contact = now;
@@ -82,7 +82,7 @@
     EXPECT_FALSE(off.may_renew("n-1", now)) << "no time between a lease and a cancellation";
 }
 
-TEST_F(Kept, TheLeaderReckonsWithANodeThatIsSilentAndNotWithOneThatIsHeard) {
+TEST_F(LeaseRenewal, ASilentNodeMayBeRenewingAndOneThatIsHeardIsNot) {
     const auto began = now;
     EXPECT_EQ(bound.latest_renewal("b", now), now) << "a predecessor's word may still be good";
     for (int i = 0; i < 3; ++i) {
@@ -100,7 +100,7 @@
     EXPECT_EQ(bound.latest_renewal("a", now), began + longer(keep)) << "what its predecessor granted";
 }
 
-TEST_F(Kept, WhatANodeKeptCountsWhenItIsHeardAgain) {
+TEST_F(LeaseRenewal, RenewalsCountOnceTheNodeIsHeardAgain) {
     exchange();
     now += 1s;
     exchange();
@@ -117,13 +117,13 @@
 }
 
 // A cut holds messages back for minutes: what they say of the present was true when they were sent.
-TEST_F(Kept, ASignOfLifeThatWasHeldSpeaksForTheTimeWhenItWasSent) {
+TEST_F(LeaseRenewal, ADelayedHeartbeatSpeaksForTheTimeWhenItWasSent) {
     exchange();
     now += 1s;
     exchange();
     now += 1s;
     auto heartbeat = renewer.heartbeat(now);  // promises, and is held
-    ASSERT_TRUE(heartbeat.abstains);
+    ASSERT_TRUE(heartbeat.pauses_renewal);
     now += 12s;
     ASSERT_TRUE(renewer.may_renew_cut_off(report(), now, true));
     now += 1s;
@@ -131,20 +131,21 @@
     EXPECT_GE(bound.latest_renewal("b", now), now - 1s) << "its promise is long over";
 }
 
-TEST_F(Kept, AWordOfAnotherLeadersTermPromisesNothing) {
+TEST_F(LeaseRenewal, AHeartbeatOfAnotherTermProvesNothing) {
     auto heartbeat = Heartbeat{"b", 3, 1, 0, true, 100'000};
     now += 1s;
     bound.heard("south", heartbeat, now, true);
     EXPECT_EQ(bound.latest_renewal("b", now), now);
 }
 
-TEST_F(Kept, TheFormatsAreReadBackAndBadOnesRefused) {
+TEST_F(LeaseRenewal, MessagesAreReadBackAndMalformedOnesRefused) {
     Heartbeat s{"b", 7, 12, 900, true, 44};
     auto read = parse_heartbeat(to_json(s));
     ASSERT_TRUE(read);
-    EXPECT_EQ(std::tie(read->zone, read->token, read->stamp, read->grant_age_ms, read->abstains,
-                       read->last_renewal_age_ms),
-              std::tie(s.zone, s.token, s.stamp, s.grant_age_ms, s.abstains, s.last_renewal_age_ms));
+    EXPECT_EQ(std::tie(read->zone, read->fencing_token, read->timestamp_ms, read->grant_age_ms,
+                       read->pauses_renewal, read->last_renewal_age_ms),
+              std::tie(s.zone, s.fencing_token, s.timestamp_ms, s.grant_age_ms, s.pauses_renewal,
+                       s.last_renewal_age_ms));
     EXPECT_FALSE(parse_heartbeat({{"zone", "b"}, {"token", -1}}));
     EXPECT_FALSE(parse_renewal_grant({{"token", 1}, {"stamp", 2}, {"but", {1, 2}}}));
     EXPECT_FALSE(parse_renewal_grant({{"token", 1}, {"stamp", 2}}));
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -54,36 +54,36 @@
     }
 };
 
-state::TxnResult transact(Scripted& peer) {
+state::CompareAndSwapResult swap_one_key(Scripted& peer) {
     state::StateClient client(peer.io, peer.address(), 100, 100);
-    return peer.play<state::TxnResult>([&]() -> net::Task<state::TxnResult> {
-        std::vector<state::Condition> conditions(1);
+    return peer.play<state::CompareAndSwapResult>([&]() -> net::Task<state::CompareAndSwapResult> {
+        std::vector<state::Precondition> preconditions(1);
         std::vector<state::Operation> operations(1);
-        conditions[0].key = operations[0].key = "k";
-        return client.txn(conditions, operations);
+        preconditions[0].key = operations[0].key = "k";
+        return client.compare_and_swap(preconditions, operations);
     });
 }
 
 }  // namespace
 
-TEST(StateClient, ATransactionWithoutAnAnswerIsUnknown) {
+TEST(StateClient, ACompareAndSwapWithoutAnAnswerIsUnknown) {
     Scripted silent;
-    EXPECT_EQ(transact(silent).outcome, Outcome::unknown);
+    EXPECT_EQ(swap_one_key(silent).outcome, Outcome::unknown);
     Scripted garbage;
     garbage.reply = "HTTP/1.1 200 x\r\nContent-Length: 1\r\n\r\n\xc1";
-    EXPECT_EQ(transact(garbage).outcome, Outcome::unknown);
+    EXPECT_EQ(swap_one_key(garbage).outcome, Outcome::unknown);
 }
 
 TEST(StateClient, RefusalsAndConflictsAreKnownNotToBeExecuted) {
     Scripted refused;
     refused.answer(503, wire::Json::object());
-    EXPECT_EQ(transact(refused).outcome, Outcome::refused);
+    EXPECT_EQ(swap_one_key(refused).outcome, Outcome::refused);
     Scripted conflict;
     conflict.answer(409, {{"failed", {"k"}}, {"ledger", 9}});
-    EXPECT_EQ(transact(conflict).outcome, Outcome::conflict);
+    EXPECT_EQ(swap_one_key(conflict).outcome, Outcome::conflict);
     Scripted ok;
     ok.answer(200, {{"ledger", 12}});
-    auto result = transact(ok);
+    auto result = swap_one_key(ok);
     EXPECT_EQ(result.outcome, Outcome::ok);
     EXPECT_EQ(result.revision, 12u);
 }
@@ -156,23 +156,23 @@
 
 // A user's submission must not stand behind the leader's own writes, which wait for seconds while the fleet
 // is busy.
-TEST(StateClient, AnAcceptanceDoesNotWaitForTheBudgetButIsChargedToIt) {
+TEST(StateClient, ASubmissionDoesNotWaitForTheBudgetButIsChargedToIt) {
     Scripted peer;
     peer.answer(200, {{"ledger", 12}});
     state::StateClient client(peer.io, peer.address(), 100, 10);
-    auto took = [&](std::size_t writes, state::Pace pace) {
+    auto took = [&](std::size_t writes, state::Throttle throttle) {
         peer.io.restart();
-        return peer.play<Clock::duration>([&, writes, pace]() -> net::Task<Clock::duration> {
+        return peer.play<Clock::duration>([&, writes, throttle]() -> net::Task<Clock::duration> {
             std::vector<state::Operation> operations(writes);
             auto begun = Clock::now();
-            auto result = co_await client.txn({}, operations, 2s, pace);
+            auto result = co_await client.compare_and_swap({}, operations, 2s, throttle);
             EXPECT_EQ(result.outcome, Outcome::ok);
             co_return Clock::now() - begun;
         });
     };
-    EXPECT_LT(took(8, state::Pace::ahead), 200ms);  // uses more than the burst
-    EXPECT_LT(took(1, state::Pace::ahead), 200ms);
-    EXPECT_GT(took(1, state::Pace::budgeted), 300ms);
+    EXPECT_LT(took(8, state::Throttle::charge_only), 200ms);  // uses more than the burst
+    EXPECT_LT(took(1, state::Throttle::charge_only), 200ms);
+    EXPECT_GT(took(1, state::Throttle::wait), 300ms);
 }
 
 // A 404 makes a job "unknown" to its user: only the service's own word counts.
--- a/tests/retries_test.cpp
+++ b/tests/retries_test.cpp
@@ -16,12 +16,12 @@
     // Starts task 0 on the machine and lets it fail there; what the worker then reports, until it is reaped.
     TaskStatus fail(const std::string& name) {
         now += 60s;
-        cluster->on_report(report(name, {}, cluster->token()), true, now);
+        cluster->on_report(report(name, {}, cluster->fencing_token()), true, now);
         place_all();
         auto commands = run(name);
         EXPECT_EQ(commands.size(), 1u);
         TaskStatus failed{commands.at(0).attempt, TaskState::exited, Cause::error, false};
-        cluster->on_report(report(name, {failed}, cluster->token()), true, now);
+        cluster->on_report(report(name, {failed}, cluster->fencing_token()), true, now);
         return failed;
     }
     wire::Standing past() { return cluster->past("wk-1").value().standing; }
@@ -30,8 +30,8 @@
     void keep() {
         for (auto& w : write()) store[w.key] = w.value;
     }
-    void successor(std::uint64_t token, const wire::JobSpec& s) {
-        restart(token);
+    void successor(std::uint64_t fencing_token, const wire::JobSpec& s) {
+        restart(fencing_token);
         auto kept = store["progress/wk-1"];
         auto p = kept ? state::parse_progress(*kept, s.tasks) : std::nullopt;
         cluster->add_job({s, 1'000'000}, p ? &*p : nullptr, now, wall);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -58,7 +58,7 @@
     auto s = parse_settings(good().dump());
     apply_operator_settings(s, R"({"queue_bound": 1000, "leader_hold_ms": 4000})");
     EXPECT_EQ(s.rules.queue_bound, 1000u);
-    EXPECT_EQ(s.leader_hold, std::chrono::milliseconds(4000));
+    EXPECT_EQ(s.leader_lease, std::chrono::milliseconds(4000));
     s.rules.lease_s = 20, s.rules.cancel_s = 50;
     EXPECT_GT(s.lease_renewal_period(), std::chrono::seconds(29));
     apply_operator_settings(s, R"({"keep_leases": false})");
--- a/tests/sheets_test.cpp
+++ b/tests/sheets_test.cpp
@@ -113,15 +113,15 @@
         Fleet f(rules);
         std::map<std::string, wire::Json> kept;
         std::map<std::string, std::set<std::string>> there;  // by machine: tasks that it was sent
-        std::uint64_t token = 1'000'000'000;
-        f.restart(token);
+        std::uint64_t fencing_token = 1'000'000'000;
+        f.restart(fencing_token);
         int jobs = 0;
         for (int step = 0; step < 120; ++step) {
             f.now += 100ms;
             auto some = name_of(any(25));
             switch (any(6)) {
                 case 0: {
-                    auto report = f.report(some, {}, token, "a", "card");
+                    auto report = f.report(some, {}, fencing_token, "a", "card");
                     for (auto& t : there[some]) {
                         auto slash = t.find('#');
                         report.tasks.push_back(
@@ -151,7 +151,7 @@
                     // A crash: the successor knows the records and the jobs only.
                     std::vector<wire::JobSpec> specs;
                     for (auto& [id, job] : f.cluster->jobs()) specs.push_back(job->spec);
-                    f.restart(token += 10);
+                    f.restart(fencing_token += 10);
                     for (auto& s : specs) f.add(s);
                     for (auto& [key, value] : kept) {
                         auto records = state::parse_sheet(value);
--- a/tests/sim/meetings_answers_test.cpp
+++ b/tests/sim/meetings_answers_test.cpp
@@ -39,7 +39,7 @@
 
 // A leader loses the state service and the other nodes, not its workers or users; jobs are cancelled through
 // its successor, and users ask both.
-TEST(LeaderAlone, ALeaderWithoutStateServiceAndPeersAnswersNothingFromMemoryOnceItsHoldIsOver) {
+TEST(LeaderAlone, ALeaderWithoutStateServiceAndPeersAnswersNothingFromMemoryOnceItsLeaseHasExpired) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         Site site({.seed = seed});
         site.poll_all(1s);
@@ -62,7 +62,7 @@
 
 // All nodes are refused one by one, so that the hold runs out at the service while the leader goes on by the
 // promises of the others. One of these ends, is back at once, and finds the service again first.
-TEST(Promises, AFreshProcessKeepsWhatItsPredecessorMayHavePromised) {
+TEST(LeaseVotes, ARestartedProcessKeepsItsPredecessorsVotes) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Site site({.seed = seed});
         site.poll_all(1s);
--- a/tests/sim/site.cpp
+++ b/tests/sim/site.cpp
@@ -126,7 +126,7 @@
 std::optional<state::LeaderRecord> leader_record(StateServer& server) {
     auto answer = const_cast<lab::StateStore&>(server.store()).get(state::leader_key);
     if (answer.status != 200) return std::nullopt;
-    return state::parse_leader(answer.body.at("value"));
+    return state::parse_leader_record(answer.body.at("value"));
 }
 }  // namespace
 
--- a/tests/sim/worker.cpp
+++ b/tests/sim/worker.cpp
@@ -86,7 +86,8 @@
 }
 
 wire::Report Worker::say() {
-    wire::Report r{name(), name(), where_.type, where_.zone, where_.spot, session_, ++seq_, token_, {}, {}};
+    wire::Report r{name(),   name(), where_.type,    where_.zone, where_.spot,
+                   session_, ++seq_, fencing_token_, {},          {}};
     if (ends_at_) r.notice_s = std::max(0.0, Seconds(*ends_at_ - world_.now()).count());
     for (auto& [a, t] : tasks_) r.tasks.push_back({a, t.state, t.cause, t.stored});
     return r;
@@ -209,12 +210,13 @@
         next_ = world_.now() + 1s;
         return;
     }
-    auto token = wire::parse_token(reply.body);
-    if (!token || *token < token_) return;
+    auto fencing_token = wire::parse_fencing_token(reply.body);
+    if (!fencing_token || *fencing_token < fencing_token_) return;
     lease_from_ = sent;
-    if (*token > token_) {
-        token_ = *token;
-        if (world_.now() - token_told_ > rules_.lease / 2) token_told_ = world_.now(), changed();
+    if (*fencing_token > fencing_token_) {
+        fencing_token_ = *fencing_token;
+        if (world_.now() - fencing_token_told_ > rules_.lease / 2)
+            fencing_token_told_ = world_.now(), changed();
     }
     if (auto commands = wire::parse_commands(reply.body)) carry_out(*commands);
 }
@@ -264,14 +266,15 @@
 }
 
 Response Worker::command(const Json& body) {
-    auto token = wire::parse_token(body), session = wire::parse_session(body);
+    auto fencing_token = wire::parse_fencing_token(body), session = wire::parse_session(body);
     auto commands = wire::parse_commands(body);
-    if (!token || !session || !commands) return {400, {{"error", "token and session"}}};
+    if (!fencing_token || !session || !commands) return {400, {{"error", "token and session"}}};
     if (world_.now() - lease_from_ > rules_.lease) end_session();
-    if (*token < token_ || *session != session_) return {409, wire::report_json(say())};
-    if (*token > token_) {
-        token_ = *token;
-        if (world_.now() - token_told_ > rules_.lease / 2) token_told_ = world_.now(), changed();
+    if (*fencing_token < fencing_token_ || *session != session_) return {409, wire::report_json(say())};
+    if (*fencing_token > fencing_token_) {
+        fencing_token_ = *fencing_token;
+        if (world_.now() - fencing_token_told_ > rules_.lease / 2)
+            fencing_token_told_ = world_.now(), changed();
     }
     carry_out(*commands);
     return {200, wire::report_json(say())};
--- a/tests/sim/worker.hpp
+++ b/tests/sim/worker.hpp
@@ -70,10 +70,10 @@
     Checker::Where where_;
     wire::Resources capacity_;
     bool alive_ = true, in_flight_ = false;
-    std::uint64_t session_ = 1, seq_ = 0, token_ = 0, copies_one_in_ = 0, late_one_in_ = 1;
+    std::uint64_t session_ = 1, seq_ = 0, fencing_token_ = 0, copies_one_in_ = 0, late_one_in_ = 1;
     std::optional<Nanos> ends_at_;  // as the cloud announced it
     std::size_t node_ = 0;
-    Nanos lease_from_, next_, last_sent_{-1s}, token_told_{-1000s}, hung_until_{0}, copies_until_{0},
+    Nanos lease_from_, next_, last_sent_{-1s}, fencing_token_told_{-1000s}, hung_until_{0}, copies_until_{0},
         late_until_{0};
     Copies copies_;
     std::map<wire::Attempt, Task> tasks_;
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -66,9 +66,9 @@
         if (rules.teams.empty()) rules.teams["crew"] = {};
         restart(10);
     }
-    void restart(std::uint64_t token) {
+    void restart(std::uint64_t fencing_token) {
         cluster = std::make_unique<Cluster>(rules);
-        cluster->lead(token, now);
+        cluster->lead(fencing_token, now);
         std::vector<wire::MachineType> types(2);
         types[0] = {"small", 4, 0, 32, 30, 0.5, 1.0, 0.2, 25, {"a", "b"}};
         types[1] = {"card", 16, 4, 128, 100, 0.5, 10.0, 4.0, 30, {"a", "b"}};
@@ -88,8 +88,9 @@
     }
     Job& add(const wire::JobSpec& s) { return cluster->add_job({s, wall++}, nullptr, now, wall); }
     // A report of the machine; everything the cluster holds as sent is left as given.
-    Report report(const std::string& name, std::vector<TaskStatus> tasks = {}, std::uint64_t token = 10,
-                  const std::string& zone = "a", const std::string& type = "small", bool spot = false) {
+    Report report(const std::string& name, std::vector<TaskStatus> tasks = {},
+                  std::uint64_t fencing_token = 10, const std::string& zone = "a",
+                  const std::string& type = "small", bool spot = false) {
         Report r;
         r.machine = name;
         r.address = "127.0.0.1:9";
@@ -98,7 +99,7 @@
         r.spot = spot;
         r.session = 1;
         r.seq = ++seq[name];
-        r.token = token;
+        r.fencing_token = fencing_token;
         r.tasks = std::move(tasks);
         return r;
     }
@@ -136,8 +137,8 @@
         std::vector<TaskStatus> tasks;
         for (auto& [a, e] : machine(name).entries)
             tasks.push_back({a, TaskState::running, Cause::none, false});
-        cluster->push_answered(machine(name), commands, cluster->token(), true, false, now);
-        cluster->on_report(report(name, tasks, cluster->token(), machine(name).zone), false, now);
+        cluster->push_answered(machine(name), commands, cluster->fencing_token(), true, false, now);
+        cluster->on_report(report(name, tasks, cluster->fencing_token(), machine(name).zone), false, now);
         return commands;
     }
     void place_all() {
--- a/tests/worker_test.cpp
+++ b/tests/worker_test.cpp
@@ -26,9 +26,9 @@
     static Attempt attempt(std::uint32_t index, std::uint64_t number = 7) {
         return {{"wk-1", index}, number};
     }
-    bool push(Verb verb, const Attempt& a, double grace = 0, std::uint64_t token = 5,
+    bool push(Verb verb, const Attempt& a, double grace = 0, std::uint64_t fencing_token = 5,
               std::uint64_t session = 1) {
-        return m.commanded(token, session, {{verb, a, grace}}, now);
+        return m.commanded(fencing_token, session, {{verb, a, grace}}, now);
     }
     void run(const Attempt& a, const wire::JobSpec& s) {
         push(Verb::launch, a);
@@ -95,7 +95,7 @@
     EXPECT_FALSE(w.m.answered(4, 1, {{Verb::launch, Worker::attempt(0), 0}}, w.now, w.now));
     EXPECT_TRUE(w.actions().empty());
     EXPECT_TRUE(w.push(Verb::launch, Worker::attempt(0), 0, 9));
-    EXPECT_EQ(w.m.token(), 9u);
+    EXPECT_EQ(w.m.fencing_token(), 9u);
 }
 
 TEST(Worker, OnlyAnsweredReportsRenewTheLeaseAndItsEndEndsTheSession) {
