--- a/bench/cells_bench.cpp
+++ b/bench/cells_bench.cpp
@@ -46,8 +46,12 @@
     }
     std::vector<cells::Candidate> waiting;
     for (int i = 0; i < state.range(0); ++i)
-        waiting.push_back(
-            {"wk-" + std::to_string(i), "desk", wire::Sort::array, {4, 0, 4}, 50, std::chrono::minutes(1)});
+        waiting.push_back({"wk-" + std::to_string(i),
+                           "desk",
+                           wire::JobKind::array,
+                           {4, 0, 4},
+                           50,
+                           std::chrono::minutes(1)});
     for (auto _ : state) benchmark::DoNotOptimize(spiller.choose(settings, waiting, now, 32));
 }
 BENCHMARK(choose)->Arg(10)->Arg(1000)->Unit(benchmark::kMicrosecond);
--- a/bench/quota_bench.cpp
+++ b/bench/quota_bench.cpp
@@ -43,7 +43,7 @@
         cluster->lead(10, now);
         cluster->set_types({{"small", 4, 0, 32, 30, 0.5, 1.0, 0.2, 25, {"a"}}});
         seq.resize(machines);
-        for (std::size_t i = 0; i < machines; ++i) report(i, false);
+        for (std::size_t i = 0; i < machines; ++i) heartbeat(i, false);
         for (std::size_t k = 0; k < 1000 + machines; ++k) {
             wire::JobSpec s;
             s.id = "wk-" + std::to_string(k);
@@ -60,7 +60,7 @@
         }
         for (std::size_t i = 0; i < machines / 25; ++i) cluster->round(now);
         write();
-        for (std::size_t i = 0; i < machines; ++i) report(i, false);
+        for (std::size_t i = 0; i < machines; ++i) heartbeat(i, false);
         // Files the machines that have all just reported: else the first measured round would, and its share
         // of the mean grew with the fleet (2.75 times from 1,000 to 10,000 machines, over 400 rounds).
         cluster->round(now);
@@ -72,26 +72,26 @@
             if (w.durable) w.durable();
     }
     // All that is on the machine runs; the first of it ends if asked for.
-    void report(std::size_t i, bool end) {
-        wire::Report r;
+    void heartbeat(std::size_t i, bool end) {
+        wire::WorkerHeartbeat r;
         r.machine = "n-" + std::to_string(i);
-        r.address = "127.0.0.1:9", r.type = "small", r.zone = "a", r.session = 1, r.seq = ++seq[i],
+        r.address = "127.0.0.1:9", r.type = "small", r.zone = "a", r.agent_epoch = 1, r.seq = ++seq[i],
         r.fencing_token = 10;
         if (auto* m = cluster->find_machine(r.machine))
-            for (auto& [a, e] : m->entries) {
+            for (auto& [a, e] : m->assignments) {
                 if (e.exited()) continue;
                 bool ends = std::exchange(end, false);
                 r.tasks.push_back({a, ends ? wire::TaskState::exited : wire::TaskState::running,
                                    ends ? wire::Cause::done : wire::Cause::none, false});
             }
-        cluster->on_report(r, true, now);
+        cluster->on_heartbeat(r, true, now);
     }
 };
 
 void rounds(benchmark::State& state, Fleet& f) {
     for (auto _ : state) {
         f.now += std::chrono::milliseconds(1);
-        f.report(f.turn++ % f.machines, true);
+        f.heartbeat(f.turn++ % f.machines, true);
         f.cluster->round(f.now);
         state.PauseTiming();
         f.write();
--- a/bench/quota_day.cpp
+++ b/bench/quota_day.cpp
@@ -15,8 +15,8 @@
 using namespace std::chrono_literals;
 using wire::Attempt;
 using wire::Cause;
+using wire::JobKind;
 using wire::Priority;
-using wire::Sort;
 using wire::TaskState;
 
 namespace {
@@ -96,14 +96,14 @@
         for (auto& f : built.faults) std::fprintf(stderr, "%s\n", f.str().c_str());
         return built.tree;
     }
-    void submit(const std::string& team, const std::string& project, Priority p, Sort sort,
+    void submit(const std::string& team, const std::string& project, Priority p, JobKind kind,
                 std::uint32_t tasks, wire::Resources need, double run_s, double checkpoint_s) {
         wire::JobSpec s;
         s.id = "wk-" + std::to_string(++ids_);
         s.job_class = project.empty() ? team : project;
-        s.team = team, s.project = project, s.priority = p, s.sort = sort, s.tasks = tasks, s.need = need;
+        s.team = team, s.project = project, s.priority = p, s.kind = sort, s.tasks = tasks, s.need = need;
         s.image = "img", s.image_gb = 0.1;
-        s.estimate_s = sort == Sort::service ? 0 : run_s;
+        s.estimate_s = sort == JobKind::service ? 0 : run_s;
         s.checkpoint_s = checkpoint_s, s.save_s = checkpoint_s > 0 ? 2 : 0;
         run_s_[s.id] = run_s;
         specs_[s.id] = s;
@@ -114,20 +114,21 @@
     void events(int s) {
         if (s == 0)
             for (int i = 0; i < 10; ++i)
-                submit("counterops", "orderdesk", Priority::production, Sort::service, 14, {1, 0, 4}, 0, 0);
+                submit("counterops", "orderdesk", Priority::production, JobKind::service, 14, {1, 0, 4}, 0,
+                       0);
         // Slips come steadily, at the lowest level; reconciliation in arrays; readers borrow what there is.
         if (s % 20 == 0)
-            submit("counterops", "slips", Priority::low, Sort::array, 60, {1, 0, 4}, uniform(30, 50), 15);
+            submit("counterops", "slips", Priority::low, JobKind::array, 60, {1, 0, 4}, uniform(30, 50), 15);
         if (s % 15 == 0)
-            submit("counterops", "reconcile", Priority::normal, Sort::array, 60, {1, 0, 4}, uniform(20, 30),
-                   0);
+            submit("counterops", "reconcile", Priority::normal, JobKind::array, 60, {1, 0, 4},
+                   uniform(20, 30), 0);
         if (s % 30 == 0)
-            submit("helpline", "", Priority::normal, Sort::array, 200, {1, 0, 2}, uniform(40, 80), 10);
+            submit("helpline", "", Priority::normal, JobKind::array, 200, {1, 0, 2}, uniform(40, 80), 10);
         if (s >= 600 && s < 720 && s % 4 == 0)
-            submit("counterops", "reconcile", Priority::high, Sort::array, 300, {1, 0, 4}, uniform(20, 30),
+            submit("counterops", "reconcile", Priority::high, JobKind::array, 300, {1, 0, 4}, uniform(20, 30),
                    0);
         if (s >= 2100 && s < 2160 && s % 4 == 0)
-            submit("helpline", "", Priority::production, Sort::array, 400, {1, 0, 2}, uniform(40, 60), 0);
+            submit("helpline", "", Priority::production, JobKind::array, 400, {1, 0, 2}, uniform(40, 60), 0);
         if (s == 1200) limit(500);
         if (s == 1260) cluster_.reset(), dead_until_ = t_ + 3.2;
         if (s == 1800) limit(800);
@@ -157,21 +158,22 @@
                                   static_cast<std::int64_t>(t_ * 1000));
             }
         for (auto& [key, value] : records_)
-            if (auto n = state::parse_sheet_key(key)) {
-                auto sheet = state::parse_sheet(value);
-                for (auto& r : *sheet) cluster_->inherit(*n, r, now_, static_cast<std::int64_t>(t_ * 1000));
+            if (auto n = state::parse_assignment_shard_key(key)) {
+                auto shard = state::parse_assignment_shard(value);
+                for (auto& r : *shard)
+                    cluster_->recover_machine(*n, r, now_, static_cast<std::int64_t>(t_ * 1000));
             }
         for (int i = 0; i < machines; ++i) {
             execute(i, fencing_token_, {});
-            cluster_->on_report(report(i), false, now_);
+            cluster_->on_heartbeat(heartbeat(i), false, now_);
         }
     }
     std::string name(int i) { return "n-" + std::to_string(1000 + i); }
-    wire::Report report(int i) {
+    wire::WorkerHeartbeat heartbeat(int i) {
         Worker& w = workers_[static_cast<std::size_t>(i)];
-        wire::Report r;
+        wire::WorkerHeartbeat r;
         r.machine = name(i), r.address = "127.0.0.1:9", r.type = "kiosk", r.zone = "a";
-        r.session = 1, r.seq = ++w.seq, r.fencing_token = w.fencing_token;
+        r.agent_epoch = 1, r.seq = ++w.seq, r.fencing_token = w.fencing_token;
         for (auto& [a, x] : w.tasks) r.tasks.push_back({a, x.state, x.cause, x.saved});
         w.changed = false;
         w.next_report = t_ + uniform(2.2, 3.7);
@@ -207,7 +209,8 @@
             if (x.state == TaskState::saving && (x.saving -= 0.1) <= 0) {
                 x.state = TaskState::exited, x.cause = Cause::stopped, x.saved = true, w.changed = true;
                 saved_[a.task.str()] = run_s_[a.task.job] - x.left;
-            } else if (x.state == TaskState::running && spec.sort != Sort::service && (x.left -= 0.1) <= 0) {
+            } else if (x.state == TaskState::running && spec.kind != JobKind::service &&
+                       (x.left -= 0.1) <= 0) {
                 x.state = TaskState::exited, x.cause = Cause::done, w.changed = true;
                 ++done_;
             }
@@ -216,7 +219,7 @@
     void talk(int i) {
         Worker& w = workers_[static_cast<std::size_t>(i)];
         if (!w.changed && t_ < w.next_report) return;
-        cluster_->on_report(report(i), true, now_);
+        cluster_->on_heartbeat(heartbeat(i), true, now_);
         execute(i, fencing_token_, cluster_->reply_commands(*cluster_->find_machine(name(i)), now_));
     }
     void push(const std::string& which) {
@@ -227,7 +230,7 @@
         if (commands.empty()) return;
         execute(i, fencing_token_, commands);
         cluster_->push_answered(*m, commands, fencing_token_, true, false, now_);
-        cluster_->on_report(report(i), false, now_);
+        cluster_->on_heartbeat(heartbeat(i), false, now_);
     }
     void write() {
         for (;;) {
--- a/src/api/cells.cpp
+++ b/src/api/cells.cpp
@@ -53,7 +53,7 @@
     co_return true;
 }
 
-bool Cells::may_renew(const wire::Report& report, const fleet::Machine* m) const {
+bool Cells::may_renew(const wire::WorkerHeartbeat& heartbeat, const fleet::Machine* m) const {
     const auto now = day_now();
     // Nothing is known yet of what machines hold: none is answered once something may have to be gone.
     if (!m) return lent_records_.ok && (!first_end_ || now < stop_by(*first_end_));
@@ -61,9 +61,9 @@
         const auto end = h.borrower.until();
         if (!end || !h.borrower.record().holding || now < stop_by(*end) + host_.renewed_within) continue;
         auto names = [&](const wire::Attempt& a) { return a.task.job == id; };
-        if (std::any_of(report.tasks.begin(), report.tasks.end(),
+        if (std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
                         [&](auto& t) { return names(t.attempt); }) ||
-            std::any_of(m->entries.begin(), m->entries.end(),
+            std::any_of(m->assignments.begin(), m->assignments.end(),
                         [&](auto& e) { return names(e.first) && !e.second.exited(); }))
             return false;
     }
@@ -156,7 +156,7 @@
             auto* job = cluster.find_job(place.id);
             if (!job || job->cancelled || job->borrowed) continue;
             if (auto l = lent_.find(place.id); l != lent_.end() && l->second.lender.away()) continue;
-            waiting.push_back({place.id, job->spec.team, job->spec.sort, job->spec.need, job->waiting.size(),
+            waiting.push_back({place.id, job->spec.team, job->spec.kind, job->spec.need, job->waiting.size(),
                                now - job->accepted});
         }
     for (auto& s : spiller_.choose(settings_, waiting, now, most_parts - open)) {
--- a/src/api/cells.hpp
+++ b/src/api/cells.hpp
@@ -34,9 +34,9 @@
     net::Task<bool> read();
     // Takes them over. False: not now. Before anything is started.
     net::Task<bool> load(TimePoint now, std::int64_t wall_ms);
-    // Whether a report may be answered, which renews the worker's lease: what a part with an end may have on
-    // the machine must be gone in time. `m`: absent while the records are being read.
-    bool may_renew(const wire::Report& report, const fleet::Machine* m) const;
+    // Whether a heartbeat may be answered, which renews the worker's lease: what a part with an end may have
+    // on the machine must be gone in time. `m`: absent while the records are being read.
+    bool may_renew(const wire::WorkerHeartbeat& heartbeat, const fleet::Machine* m) const;
     // Once a second or so: spills, sends again what has no answer, asks for what is done.
     net::Task<> loop();
     // Stops what must be gone before long. Before every round, the first above all: leaders that follow each
--- a/src/api/cloud.cpp
+++ b/src/api/cloud.cpp
@@ -51,7 +51,7 @@
                     if (cluster_.is_gone(l.name)) continue;
                     spdlog::info("machine {} ({}, {}) is listed and not known", l.name, l.type, l.zone);
                     m = &cluster_.add_machine(l.name, l.type, l.zone, l.spot, now);
-                    m->rented = now - secs(l.age_s);
+                    m->provisioned_at = now - secs(l.age_s);
                     cluster_.mark_machine_dirty(l.name);
                 }
                 if (m->address.empty() && !l.address.empty()) {
@@ -71,12 +71,12 @@
         co_await net::sleep_for(700ms);
         // Requests that the cloud's rate holds back, or that have no answer, are not heaped up.
         auto most_open = static_cast<std::size_t>(std::max(3.0, services_.settings.cloud_rps));
-        if (!may_act() || open_hires_.size() >= most_open) continue;
-        std::vector<renting::Order> coming;
-        for (auto& [request, h] : open_hires_) coming.push_back({{h.type, h.zone, h.spot}, h.count});
-        auto plan = renting_.plan(cluster_, Clock::now(), coming);
+        if (!may_act() || open_requests_.size() >= most_open) continue;
+        std::vector<autoscaler::MachineOrder> coming;
+        for (auto& [request, h] : open_requests_) coming.push_back({{h.type, h.zone, h.spot}, h.count});
+        auto plan = autoscaler_.plan(cluster_, Clock::now(), coming);
         std::vector<std::string> idle;
-        for (auto& name : plan.give_back) {
+        for (auto& name : plan.scale_in) {
             auto* m = cluster_.find_machine(name);
             if (!m || m->returning || m->live() > 0) continue;
             m->returning = true;
@@ -86,69 +86,72 @@
             spdlog::info("{} idle machines are returned, {} first", idle.size(), idle.front());
             spawn("return idle", give_back(idle, false));
         }
-        if (auto* m = cluster_.find_machine(plan.empty)) {
+        if (auto* m = cluster_.find_machine(plan.drain)) {
             spdlog::info("machine {} is emptied: its {} replicas have room elsewhere", m->name, m->live());
-            m->drain = true;
+            m->draining = true;
         }
-        for (auto& order : plan.rent) {
-            if (open_hires_.size() >= most_open) break;
+        for (auto& order : plan.scale_out) {
+            if (open_requests_.size() >= most_open) break;
             std::string request =
-                "r-" + std::to_string(cluster_.fencing_token()) + "-" + std::to_string(++hires_);
-            state::HireRecord hire{order.offer.type, order.offer.zone, order.offer.spot, order.count};
-            open_hires_[request] = hire;
+                "r-" + std::to_string(cluster_.fencing_token()) + "-" + std::to_string(++requests_made_);
+            state::ProvisioningRecord record{order.offer.type, order.offer.zone, order.offer.spot,
+                                             order.count};
+            open_requests_[request] = record;
             // The request is on record before it is sent, so that a successor repeats it rather than forget
             // it.
             auto self = shared_from_this();
-            cluster_.enqueue({state::hire_key(request), state::to_json(hire), [self, request, hire] {
-                                  if (!self->stopped_)
-                                      self->spawn("rent " + request, self->rent_one(request, hire, false));
-                              }});
+            cluster_.enqueue(
+                {state::provisioning_key(request), state::to_json(record), [self, request, record] {
+                     if (!self->stopped_)
+                         self->spawn("rent " + request, self->rent_one(request, record, false));
+                 }});
         }
         write_wake_.wake();
     }
 }
 
-Task<> Leader::rent_one(std::string request, state::HireRecord hire, bool asked) {
-    renting::Offer offer{hire.type, hire.zone, hire.spot};
+Task<> Leader::rent_one(std::string request, state::ProvisioningRecord record, bool asked) {
+    autoscaler::Offer offer{record.type, record.zone, record.spot};
     for (;;) {
-        co_await services_.cloud.turn();
+        co_await services_.cloud.wait_for_rate_budget();
         if (!may_act()) {
             co_await net::sleep_for(300ms);
             continue;
         }
         // Another request has shown meanwhile that there is none: a call that can do more is let through
         // instead. Only a request that was never sent may be dropped.
-        if (!asked && renting_.refuses(offer, Clock::now())) break;
+        if (!asked && autoscaler_.refuses(offer, Clock::now())) break;
         asked = true;
         auto sent = Clock::now();
-        auto result = co_await services_.cloud.rent(request, hire.type, hire.zone, hire.spot, hire.count);
-        if (result.outcome == fleet::RentOutcome::granted) {
-            spdlog::info("rented {} of {} {} in {}{} ({})", result.machines.size(), hire.count, hire.type,
-                         hire.zone, hire.spot ? ", spot" : "", request);
+        auto result =
+            co_await services_.cloud.provision(request, record.type, record.zone, record.spot, record.count);
+        if (result.outcome == fleet::ProvisioningOutcome::granted) {
+            spdlog::info("rented {} of {} {} in {}{} ({})", result.machines.size(), record.count, record.type,
+                         record.zone, record.spot ? ", spot" : "", request);
             for (auto& name : result.machines) {
                 if (cluster_.is_gone(name))
                     continue;  // the answer to a repeat, which names what it named before
-                auto& m = cluster_.add_machine(name, hire.type, hire.zone, hire.spot, sent);
-                m.rented = sent;
+                auto& m = cluster_.add_machine(name, record.type, record.zone, record.spot, sent);
+                m.provisioned_at = sent;
                 cluster_.mark_machine_dirty(name);
             }
-            if (static_cast<int>(result.machines.size()) < hire.count)
-                renting_.refused(offer, Clock::now());
+            if (static_cast<int>(result.machines.size()) < record.count)
+                autoscaler_.refused(offer, Clock::now());
             else
-                renting_.granted(offer);
+                autoscaler_.granted(offer);
             break;
         }
-        if (result.outcome == fleet::RentOutcome::no_capacity ||
-            result.outcome == fleet::RentOutcome::refused) {
-            spdlog::info("no {} to be had in {}{} ({})", hire.type, hire.zone, hire.spot ? ", spot" : "",
-                         request);
-            renting_.refused(offer, Clock::now());
+        if (result.outcome == fleet::ProvisioningOutcome::no_capacity ||
+            result.outcome == fleet::ProvisioningOutcome::refused) {
+            spdlog::info("no {} to be had in {}{} ({})", record.type, record.zone,
+                         record.spot ? ", spot" : "", request);
+            autoscaler_.refused(offer, Clock::now());
             break;
         }
         co_await net::sleep_for(1s);  // no answer: the same request again, under the same name
     }
-    open_hires_.erase(request);
-    cluster_.enqueue({state::hire_key(request), std::nullopt, {}});
+    open_requests_.erase(request);
+    cluster_.enqueue({state::provisioning_key(request), std::nullopt, {}});
     write_wake_.wake();
 }
 
@@ -156,7 +159,7 @@
     while (!names.empty()) {
         std::vector<std::string> part(
             names.begin(), names.begin() + static_cast<long>(std::min<std::size_t>(100, names.size())));
-        if (may_act() && co_await services_.cloud.give_back(part)) {
+        if (may_act() && co_await services_.cloud.return_machines(part)) {
             for (auto& name : part) {
                 cluster_.machine_gone(name, proof ? "returned, to prove it empty" : "returned", Clock::now());
             }
--- a/src/api/leader.cpp
+++ b/src/api/leader.cpp
@@ -15,9 +15,9 @@
       place_wake_(services.io),
       write_wake_(services.io),
       acquired_(acquired),
-      silence_(
-          {secs(services.settings.rules.report_s), secs(services.settings.rules.lease_s), asked_at_once}),
-      contact_(secs(services.settings.rules.report_s), acquired),
+      failure_detector_(
+          {secs(services.settings.rules.heartbeat_s), secs(services.settings.rules.lease_s), asked_at_once}),
+      reachability_(secs(services.settings.rules.heartbeat_s), acquired),
       renewal_period_(
           leases::renewal_period(services.settings.rules.lease_s, services.settings.rules.cancel_s)),
       // Reckoned with even where it is switched off: a predecessor may have had it on.
@@ -65,7 +65,7 @@
     if (cluster_.find_job(record.spec.id) || cluster_.past(record.spec.id)) return;
     auto now = Clock::now();
     cluster_.add_job(record, nullptr, now, wall_ms());
-    renting_.note_arrival(record.spec, now);
+    autoscaler_.note_arrival(record.spec, now);
     place_wake_.wake();
 }
 
@@ -111,10 +111,9 @@
     if (auto it = cluster_.jobs().find(id); it != cluster_.jobs().end()) {
         auto& job = *it->second;
         if (job.unsettled()) return std::nullopt;
-        return wire::JobStatus{id, job.standing(), job.done.size(), job.running(), job.error_count};
+        return wire::JobStatus{id, job.job_state(), job.done.size(), job.running(), job.error_count};
     }
-    if (auto past = cluster_.past(id))
-        return wire::JobStatus{id, past->standing, past->done, 0, past->errors};
+    if (auto past = cluster_.past(id)) return wire::JobStatus{id, past->state, past->done, 0, past->errors};
     return std::nullopt;
 }
 
@@ -142,13 +141,13 @@
     auto until = Clock::now() + 3s;
     bool asked = false;
     while (may_act() && Clock::now() < until) {
-        if (auto past = cluster_.past(id)) co_return Response{200, wire::accepted_json(id, past->standing)};
+        if (auto past = cluster_.past(id)) co_return Response{200, wire::accepted_json(id, past->state)};
         auto* job = cluster_.find_job(id);
         if (!job) co_return later;
-        auto standing = job->standing();
-        if (standing == wire::Standing::cancelled || standing == wire::Standing::done ||
-            standing == wire::Standing::failed)
-            co_return Response{200, wire::accepted_json(id, standing)};
+        auto job_state = job->job_state();
+        if (job_state == wire::JobState::cancelled || job_state == wire::JobState::done ||
+            job_state == wire::JobState::failed)
+            co_return Response{200, wire::accepted_json(id, job_state)};
         // A job whose last result is in counts as done; that is on record shortly.
         if (!asked && !job->finished()) {
             spdlog::info("job {} is cancelled", id);
@@ -239,7 +238,7 @@
         cluster_.lead(services_.election.fencing_token(), acquired_);
         for (auto& [name, m] : cluster_.machines()) {
             bool late = false;
-            for (auto& [a, e] : m->entries) late |= e.late;
+            for (auto& [a, e] : m->assignments) late |= e.launch_unanswered;
             if (late && !m->address.empty()) spawn("fence " + name, push(name, true));
         }
     }
@@ -260,7 +259,7 @@
                     "this process is {:.1f} s behind: silence of machines counts for nothing for a while",
                     Seconds(now - due).count());
             behind_until_ = std::max(behind_until_, until);
-            silence_.deaf_until(behind_until_);
+            failure_detector_.suspend_until(behind_until_);
         }
         if (!may_act()) continue;
         cluster_.lead(services_.election.fencing_token(), acquired_);
@@ -273,37 +272,37 @@
         for (auto& [name, m] : cluster_.machines()) {
             cluster_.touch(name);
             up += m->up;
-            any_up |= m->up || !m->entries.empty();
-            if (!m->up && !m->address.empty() && now - m->probed > 2s && m->entries.size() > 0) {
+            any_up |= m->up || !m->assignments.empty();
+            if (!m->up && !m->address.empty() && now - m->probed > 2s && m->assignments.size() > 0) {
                 if (++asked > asked_at_once) continue;
                 m->probed = now;
                 spawn("fence " + name, push(name, true));
-            } else if (m->up && !m->push_ok && !m->probing && now - m->probed > 3s) {
+            } else if (m->up && !m->push_reachable && !m->probing && now - m->probed > 3s) {
                 if (++asked > asked_at_once) continue;
                 m->probed = now;
                 ask(*m);
             }
         }
-        auto verdict = silence_.judge(
+        auto verdict = failure_detector_.evaluate(
             cluster_.machines(), now, acquired_, [this](auto& m) { return cluster_.runs_service(m); },
             now - services_.state.last_response() <= 1500ms);
-        for (auto* m : verdict.ask) ask(*m);
-        if (!verdict.give_up.empty()) {
+        for (auto* m : verdict.probe) ask(*m);
+        if (!verdict.declare_failed.empty()) {
             std::vector<std::string> gone;
-            for (auto* m : verdict.give_up) {
+            for (auto* m : verdict.declare_failed) {
                 spdlog::warn("machine {} stays silent: it is returned, to prove it empty", m->name);
                 m->returning = true;
-                silence_.gave_up(now);
+                failure_detector_.note_declared_failed(now);
                 gone.push_back(m->name);
             }
             spawn("return", give_back(std::move(gone), true));
         }
         // A leader that no worker reaches is of no use, whatever the state service says.
         // Nor one that workers reach only by way of others: it can send them nothing, and they it late.
-        if (contact_.cut_off(now, up) && now >= behind_until_ && now - acquired_ > 8s &&
+        if (reachability_.cut_off(now, up) && now >= behind_until_ && now - acquired_ > 8s &&
             services_.state.responsive(now)) {
-            // Their reports may come by way of others for another reason: whether the ways are open is asked,
-            // and any answer counts as contact.
+            // Their heartbeats may come by way of others for another reason: whether the ways are open is
+            // asked, and any answer counts as contact.
             if (now - ways_asked_ > 5s) {
                 ways_asked_ = now;
                 int few = 8;
@@ -313,12 +312,13 @@
                     ask(*m);
                 }
             } else if (now - ways_asked_ > 1500ms) {
-                spdlog::warn("no worker reaches this leader or answers it, but others pass their reports on");
+                spdlog::warn(
+                    "no worker reaches this leader or answers it, but others forward their heartbeats");
                 services_.election.step_down(15s);
                 co_return;
             }
         }
-        if (any_up && now - last_hello_ > secs(std::max(4.0, 2 * rules.report_s + 2)) &&
+        if (any_up && now - last_hello_ > secs(std::max(4.0, 2 * rules.heartbeat_s + 2)) &&
             now - acquired_ > 8s && services_.state.responsive(now)) {
             spdlog::warn("no worker has reached this leader for {:.1f} s",
                          Seconds(now - last_hello_).count());
--- a/src/api/leader.hpp
+++ b/src/api/leader.hpp
@@ -5,14 +5,14 @@
 
 #include "api/cells.hpp"
 #include "api/quotas.hpp"
+#include "autoscaler/autoscaler.hpp"
 #include "election/election.hpp"
 #include "fleet/cloud_client.hpp"
-#include "fleet/contact.hpp"
-#include "fleet/silence.hpp"
+#include "fleet/failure_detector.hpp"
+#include "fleet/reachability.hpp"
 #include "leases/leases.hpp"
 #include "net/http_server.hpp"
 #include "placement/cluster.hpp"
-#include "renting/renting.hpp"
 #include "settings/settings.hpp"
 
 namespace barrowrun::api {
@@ -34,7 +34,7 @@
     const leases::LeaseRenewer& renewer;      // what this node knows of cancelled jobs without the records
 };
 
-// Questions to machines beside their reports, at once: a share of what a process with a fraction of a core
+// Questions to machines beside their heartbeats, at once: a share of what a process with a fraction of a core
 // can do.
 inline constexpr int asked_at_once = 16;
 
@@ -48,8 +48,8 @@
     // Its part with other cells; nothing: there are none, or the records are still being read.
     Cells* cells() { return loaded_ ? cells_.get() : nullptr; }
     bool may_act() const { return !stopped_ && services_.election.leading(Clock::now()); }
-    // A worker's report, at this node or by way of another.
-    Task<Response> hello(wire::Report report, bool direct);
+    // A worker's heartbeat, at this node or by way of another.
+    Task<Response> hello(wire::WorkerHeartbeat heartbeat, bool direct);
     // This node renewed the lease of a machine's worker while the term had no right to act
     // (leases::LeaseRenewer). The right may come back, and then the lease counts from there
     // (docs/incidents/lapsed-right.md).
@@ -84,7 +84,7 @@
     Task<> cloud_types();
     Task<> cloud_list();
     Task<> cloud_rent();
-    Task<> rent_one(std::string request, state::HireRecord hire,
+    Task<> rent_one(std::string request, state::ProvisioningRecord record,
                     bool asked);  // asked: it may have been sent before
     Task<> give_back(std::vector<std::string> names, bool proof);
     Task<> push(std::string machine, bool fence);
@@ -104,20 +104,20 @@
 
     Services services_;
     placement::Cluster cluster_;
-    renting::Renting renting_;
+    autoscaler::Autoscaler autoscaler_;
     net::Duties duties_;
     net::Signal place_wake_, write_wake_;
     TimePoint acquired_;
     bool loaded_ = false, stopped_ = false, refreshing_fencing_token_ = false;
     quota::Book book_;
     bool changing_quotas_ = false;
-    std::uint64_t watch_from_ = 0, hires_ = 0;
-    std::map<std::string, wire::Report> early_;      // reports before the records were read
-    std::map<std::string, TimePoint> early_answer_;  // leases renewed by then
-    std::map<std::string, state::HireRecord> open_hires_;
+    std::uint64_t watch_from_ = 0, requests_made_ = 0;
+    std::map<std::string, wire::WorkerHeartbeat> early_;  // heartbeats before the records were read
+    std::map<std::string, TimePoint> early_answer_;       // leases renewed by then
+    std::map<std::string, state::ProvisioningRecord> open_requests_;
     TimePoint last_hello_{}, served_looked_{}, ways_asked_{};
-    fleet::Silence silence_;
-    fleet::Contact contact_;
+    fleet::FailureDetector failure_detector_;
+    fleet::LeaderReachability reachability_;
     const Clock::duration renewal_period_;  // leases::renewal_period
     leases::RenewalBound renewal_bound_;
     std::unique_ptr<Cells> cells_;
--- a/src/api/node.cpp
+++ b/src/api/node.cpp
@@ -95,7 +95,7 @@
             if (types && catalog_.empty()) catalog_ = *types;
         }
         // A node that is started into an outage says what else it can't reach.
-        if (catalog_.empty() && !state_.responsive(Clock::now())) co_await cloud_.look();
+        if (catalog_.empty() && !state_.responsive(Clock::now())) co_await cloud_.check_reachability();
         if (catalog_.empty()) co_await net::sleep_for(500ms);
     }
 }
--- a/src/api/node.hpp
+++ b/src/api/node.hpp
@@ -64,7 +64,7 @@
     bool ready_ = true;                                // as the last look at its health told
     quota::TreePtr known_quotas_;                      // as last read, to check projects without the lead
     std::map<std::string, wire::JobStatus> finished_;  // final states seen, bounded
-    fleet::Redirects redirects_;
+    fleet::WorkerRedirects redirects_;
 };
 
 }  // namespace barrowrun::api
--- a/src/api/node_jobs.cpp
+++ b/src/api/node_jobs.cpp
@@ -35,12 +35,12 @@
             auto p = state::parse_progress(progress.value, record->spec.tasks);
             if (!p) co_return look;
             look.known_outcome = true;
-            auto standing = p->failed                              ? wire::Standing::failed
-                            : p->cancelled                         ? wire::Standing::cancelled
-                            : p->done.size() == record->spec.tasks ? wire::Standing::done
-                            : p->done.empty()                      ? wire::Standing::queued
-                                                                   : wire::Standing::running;
-            look.status = wire::JobStatus{id, standing, p->done.size(), 0, p->total};
+            auto job_state = p->failed                              ? wire::JobState::failed
+                             : p->cancelled                         ? wire::JobState::cancelled
+                             : p->done.size() == record->spec.tasks ? wire::JobState::done
+                             : p->done.empty()                      ? wire::JobState::queued
+                                                                    : wire::JobState::running;
+            look.status = wire::JobStatus{id, job_state, p->done.size(), 0, p->total};
             co_return look;
         }
         if (progress.outcome != Outcome::absent) co_return look;
@@ -53,14 +53,14 @@
         auto p = state::parse_past(past.value);
         if (!p) co_return look;
         look.known_outcome = true;
-        look.status = wire::JobStatus{id, p->standing, p->done, 0, p->errors};
+        look.status = wire::JobStatus{id, p->state, p->done, 0, p->errors};
         if (finished_.size() >= kept_final_states) finished_.erase(finished_.begin());
         finished_[id] = *look.status;
         co_return look;
     }
     if (past.outcome != Outcome::absent) co_return look;
     look.known_outcome = true;
-    if (job.outcome == Outcome::ok) look.status = wire::JobStatus{id, wire::Standing::queued, 0, 0, {}};
+    if (job.outcome == Outcome::ok) look.status = wire::JobStatus{id, wire::JobState::queued, 0, 0, {}};
     co_return look;
 }
 
@@ -92,7 +92,7 @@
     if (!wire::valid_job_id(id)) co_return problem(404, "no such job");
     if (auto kept = leader_; leader()) co_return co_await kept->cancel(id);
     if (auto it = finished_.find(id); it != finished_.end())
-        co_return Response{200, wire::accepted_json(id, it->second.standing)};
+        co_return Response{200, wire::accepted_json(id, it->second.state)};
     if (!from_peer) {
         auto answer = co_await ask_leader("/peer/cancel", id_body(id), 3500ms);
         if (answer) co_return std::move(*answer);
--- a/src/api/node_peers.cpp
+++ b/src/api/node_peers.cpp
@@ -43,11 +43,11 @@
         co_return Response{200, std::move(answer)};
     }
     if (target == "/peer/hello") {
-        auto report = wire::parse_report(*body);
-        if (!report) co_return problem(400, "malformed");
+        auto heartbeat = wire::parse_worker_heartbeat(*body);
+        if (!heartbeat) co_return problem(400, "malformed");
         auto kept = leader_;
         if (!leader()) co_return problem(503, "not entitled to act");
-        co_return co_await kept->hello(std::move(*report), false);
+        co_return co_await kept->hello(std::move(*heartbeat), false);
     }
     if (target == "/peer/status" || target == "/peer/cancel" || target == "/peer/accepted") {
         auto id = wire::text(*body, "id").value_or("");
--- a/src/api/node_submissions.cpp
+++ b/src/api/node_submissions.cpp
@@ -30,7 +30,7 @@
         if (id && wire::valid_job_id(*id)) {
             auto look = co_await look_up(*id);
             if (!look.known_outcome) co_return problem(503, "the state service does not answer", 1);
-            if (look.status) co_return Response{200, wire::accepted_json(*id, look.status->standing)};
+            if (look.status) co_return Response{200, wire::accepted_json(*id, look.status->state)};
         }
         co_return problem(400, *wrong);
     }
@@ -40,7 +40,7 @@
 std::optional<Node::Refusal> Node::refused_by_settings(const wire::JobSpec& spec) const {
     auto team = settings_.rules.teams.find(spec.team);
     if (team == settings_.rules.teams.end()) return Refusal{422, "unknown team"};
-    const double at_once = spec.sort == wire::Sort::array ? 1.0 : spec.tasks;
+    const double at_once = spec.kind == wire::JobKind::array ? 1.0 : spec.tasks;
     const auto& limits = team->second;
     if ((limits.cpus_max > 0 && spec.need.cpus * at_once > limits.cpus_max + 1e-6) ||
         (limits.gpus_max > 0 && spec.need.gpus * at_once > limits.gpus_max + 1e-6))
@@ -87,7 +87,7 @@
     // What is known already is never refused.
     auto look = co_await look_up(id);
     if (!look.known_outcome) co_return problem(503, "the state service does not answer", 1);
-    if (look.status) co_return Response{200, wire::accepted_json(id, look.status->standing)};
+    if (look.status) co_return Response{200, wire::accepted_json(id, look.status->state)};
     co_return problem(refusal.status, std::move(refusal.reason), refusal.retry_after_s);
 }
 
@@ -111,13 +111,13 @@
             else
                 net::asio::co_spawn(io_, tell_leader(id), net::asio::detached);
             spdlog::debug("job {} is accepted", id);
-            co_return Response{201, wire::accepted_json(id, wire::Standing::queued)};
+            co_return Response{201, wire::accepted_json(id, wire::JobState::queued)};
         }
         if (result.outcome == Outcome::conflict) {
             auto known = co_await Node::status(id);
             if (known.status == 200) {
-                auto standing = wire::standing_of(wire::text(known.body, "standing").value_or(""));
-                if (standing) co_return Response{200, wire::accepted_json(id, *standing)};
+                auto job_state = wire::parse_job_state(wire::text(known.body, "standing").value_or(""));
+                if (job_state) co_return Response{200, wire::accepted_json(id, *job_state)};
             }
             co_return problem(503, "not now", 1);
         }
@@ -126,7 +126,7 @@
             auto look = co_await look_up(id);
             if (!look.status) co_return std::nullopt;
             net::asio::co_spawn(io_, tell_leader(id), net::asio::detached);
-            co_return Response{200, wire::accepted_json(id, look.status->standing)};
+            co_return Response{200, wire::accepted_json(id, look.status->state)};
         }
         if (!state_.responsive(Clock::now())) co_return std::nullopt;
         co_await net::sleep_for(write_retry_pause);
--- a/src/api/node_workers.cpp
+++ b/src/api/node_workers.cpp
@@ -1,4 +1,4 @@
-// Workers' reports at a node that may or may not lead.
+// Workers' heartbeats at a node that may or may not lead.
 #include <spdlog/spdlog.h>
 
 #include "api/answers.hpp"
@@ -11,29 +11,29 @@
 Task<Response> Node::hello(std::string body) {
     auto decoded = wire::decode(body);
     if (!decoded) co_return problem(400, "not MessagePack");
-    auto report = wire::parse_report(*decoded);
-    if (!report) co_return problem(400, "not a report");
+    auto heartbeat = wire::parse_worker_heartbeat(*decoded);
+    if (!heartbeat) co_return problem(400, "not a report");
     auto now = Clock::now();
-    if (auto kept = leader_; leader()) co_return co_await kept->hello(std::move(*report), true);
+    if (auto kept = leader_; leader()) co_return co_await kept->hello(std::move(*heartbeat), true);
     // Cut off together with the worker: it keeps its lease for a while, and what it runs goes on.
-    if (renewer_.may_renew_cut_off(*report, now, !state_.responsive(now))) {
+    if (renewer_.may_renew_cut_off(*heartbeat, now, !state_.responsive(now))) {
         if (now - renewal_logged_ > 30s)
             spdlog::info("cut off from leader and state service: this node keeps the leases of its zone");
         renewal_logged_ = now;
-        if (leader_) leader_->lease_renewed(report->machine, now);
-        co_return Response{200, wire::report_answer(renewer_.fencing_token(), {})};
+        if (leader_) leader_->lease_renewed(heartbeat->machine, now);
+        co_return Response{200, wire::worker_heartbeat_answer(renewer_.fencing_token(), {})};
     }
     if (leader_) co_return problem(503, "not entitled to act");
     auto name = election_.leader_name();
     if (name.empty()) co_return problem(503, "no leader is known");
-    if (redirects_.send_to(election_.leader_incarnation(), report->machine, now))
+    if (redirects_.should_redirect(election_.leader_incarnation(), heartbeat->machine, now))
         co_return Response{421, wire::redirect_answer(name)};
     auto address = election_.leader_address();
     if (!address) co_return problem(503, "no leader is known");
-    auto reply =
-        co_await peers_.call(*address, verb::post, "/peer/hello", wire::report_json(*report), 2500ms);
+    auto reply = co_await peers_.call(*address, verb::post, "/peer/hello",
+                                      wire::worker_heartbeat_json(*heartbeat), 2500ms);
     if (reply.status == 200) co_return Response{200, std::move(reply.body)};
-    redirects_.not_passed_on(report->machine);
+    redirects_.on_forwarding_failed(heartbeat->machine);
     co_return problem(503, "the leader does not answer");
 }
 
--- a/src/api/quotas.cpp
+++ b/src/api/quotas.cpp
@@ -228,7 +228,7 @@
     if (it == cluster_.jobs().end()) return std::nullopt;
     const auto& job = *it->second;
     return Json{{"name_id", id},
-                {"standing", wire::standing_name(job.standing())},
+                {"standing", wire::job_state_name(job.job_state())},
                 {"waiting", job.waiting.size()},
                 {"running", job.running()},
                 {"quota", cluster_.ledger().tree().node(job.account).path},
--- a/src/api/takeover.cpp
+++ b/src/api/takeover.cpp
@@ -14,7 +14,7 @@
 Task<> Leader::load() {
     auto begun = Clock::now();
     // First of all: parts of other cells' jobs may have to be gone by a moment, and until it is known
-    // whether, no report is answered.
+    // whether, no heartbeat is answered.
     if (cells_)
         while (!co_await cells_->read()) co_await net::sleep_for(200ms);
     std::optional<state::Snapshot> read;
@@ -23,7 +23,7 @@
         co_await net::sleep_for(200ms);
     }
     co_await load_quotas();
-    const auto& [jobs, progress, sheets, hires] = *read;
+    const auto& [jobs, progress, shards, provisioning_requests] = *read;
     watch_from_ = jobs.revision;
     if (services_.catalog.empty()) {
         auto catalog = co_await services_.state.get(state::catalog_key);
@@ -35,8 +35,8 @@
     auto wall = wall_ms();
     std::map<std::string, const Json*> by_job;
     for (auto& p : progress.items) by_job[p.key.substr(9)] = &p.value;
-    // In slices: reports are answered and the hold is extended in between. Nothing else looks at the cluster
-    // before it is whole (`loaded_`), so that nobody decides on a part of the records.
+    // In slices: heartbeats are answered and the hold is extended in between. Nothing else looks at the
+    // cluster before it is whole (`loaded_`), so that nobody decides on a part of the records.
     net::Slices slices(slice);
     std::size_t count = 0;
     for (auto& item : jobs.items) {
@@ -59,23 +59,24 @@
         while (!co_await cells_->load(now, wall)) co_await net::sleep_for(200ms);
         spawn("cells", cells_->loop());
     }
-    for (auto& item : sheets.items) {
+    for (auto& item : shards.items) {
         co_await slices.pause();
-        auto number = state::parse_sheet_key(item.key);
-        auto records = state::parse_sheet(item.value);
+        auto number = state::parse_assignment_shard_key(item.key);
+        auto records = state::parse_assignment_shard(item.value);
         if (!number || !records) {
             spdlog::error("the record {} cannot be read: nothing is started for a lease", item.key);
             cluster_.distrust_records(number, acquired_ + longer(secs(services_.settings.rules.lease_s)));
             continue;
         }
-        for (auto& record : *records) cluster_.inherit(*number, record, acquired_, wall);
+        for (auto& record : *records) cluster_.recover_machine(*number, record, acquired_, wall);
     }
-    for (auto& item : hires.items)
-        if (auto hire = state::parse_hire(item.value)) open_hires_[item.key.substr(6)] = *hire;
+    for (auto& item : provisioning_requests.items)
+        if (auto record = state::parse_provisioning_record(item.value))
+            open_requests_[item.key.substr(6)] = *record;
     // Those that came in meanwhile, too, and more of them while these are applied.
     while (!early_.empty()) {
         auto first = early_.extract(early_.begin());
-        cluster_.on_report(first.mapped(), true, now);
+        cluster_.on_heartbeat(first.mapped(), true, now);
         co_await slices.pause();
     }
     for (auto& [name, when] : early_answer_)
@@ -85,7 +86,8 @@
     loaded_ = true;
     last_hello_ = now;
     spdlog::info("took over after {:.0f} ms: {} active jobs, {} machines on record, {} rentals open",
-                 Seconds(now - begun).count() * 1000, count, cluster_.machines().size(), open_hires_.size());
+                 Seconds(now - begun).count() * 1000, count, cluster_.machines().size(),
+                 open_requests_.size());
     // Every known worker hears of the new token at once: that fences the predecessor and brings fresh
     // reports.
     // Not all at once: a thousand connections took this process's whole share for seconds, the hold was not
@@ -107,7 +109,7 @@
     spawn("cloud types", cloud_types());
     spawn("cloud list", cloud_list());
     spawn("cloud rent", cloud_rent());
-    for (auto& [request, hire] : open_hires_) spawn("rent " + request, rent_one(request, hire, true));
+    for (auto& [request, record] : open_requests_) spawn("rent " + request, rent_one(request, record, true));
 }
 
 Task<> Leader::fence_known(std::shared_ptr<std::deque<std::string>> names) {
--- a/src/api/workers.cpp
+++ b/src/api/workers.cpp
@@ -1,4 +1,4 @@
-// A term's part with workers: reports, commands, questions.
+// A term's part with workers: heartbeats, commands, questions.
 #include <spdlog/spdlog.h>
 
 #include "api/leader.hpp"
@@ -7,41 +7,42 @@
 using net::http::verb;
 using namespace std::chrono_literals;
 
-Task<Response> Leader::hello(wire::Report report, bool direct) {
+Task<Response> Leader::hello(wire::WorkerHeartbeat heartbeat, bool direct) {
     auto self = shared_from_this();
     const Response not_entitled{503, {{"error", "not entitled to act"}}};
     if (!may_act()) co_return not_entitled;
     auto now = Clock::now();
     last_hello_ = now;
-    direct ? contact_.direct(now) : contact_.passed_on(now);
+    direct ? reachability_.heard_directly(now) : reachability_.heard_via_peer(now);
     auto fencing_token = services_.election.fencing_token();
     if (!loaded_) {
-        auto [it, fresh] = early_.try_emplace(report.machine, report);
-        if (!fresh && std::pair(it->second.session, it->second.seq) < std::pair(report.session, report.seq))
-            it->second = report;
+        auto [it, fresh] = early_.try_emplace(heartbeat.machine, heartbeat);
+        if (!fresh && std::pair(it->second.agent_epoch, it->second.seq) <
+                          std::pair(heartbeat.agent_epoch, heartbeat.seq))
+            it->second = heartbeat;
         // What the predecessor has confirmed as cancelled stands in the records, and an outage that begins
         // before they are read may last for longer than `cancel_s`.
-        if (!services_.renewer.may_renew(report.machine, now)) co_return not_entitled;
-        if (cells_ && !cells_->may_renew(report, nullptr)) co_return not_entitled;
-        early_answer_[report.machine] = now;
-        co_return Response{200, wire::report_answer(fencing_token, {})};
+        if (!services_.renewer.may_renew(heartbeat.machine, now)) co_return not_entitled;
+        if (cells_ && !cells_->may_renew(heartbeat, nullptr)) co_return not_entitled;
+        early_answer_[heartbeat.machine] = now;
+        co_return Response{200, wire::worker_heartbeat_answer(fencing_token, {})};
     }
     cluster_.lead(fencing_token, acquired_);
-    bool newer = cluster_.on_report(report, true, now);
-    auto* m = cluster_.find_machine(report.machine);
+    bool newer = cluster_.on_heartbeat(heartbeat, true, now);
+    auto* m = cluster_.find_machine(heartbeat.machine);
     if (!m) co_return not_entitled;
-    if (!newer && report.session != m->session) co_return not_entitled;
-    if (cells_ && !cells_->may_renew(report, m)) co_return not_entitled;
+    if (!newer && heartbeat.agent_epoch != m->agent_epoch) co_return not_entitled;
+    if (cells_ && !cells_->may_renew(heartbeat, m)) co_return not_entitled;
     if (!m->may_renew(now, renewal_period_)) co_return not_entitled;
-    // Not newer, but of this session: an answer to a push has overtaken it. The worker still waits for this
-    // one.
+    // Not newer, but of this agent epoch: an answer to a push has overtaken it. The worker still waits for
+    // this one.
     auto commands = cluster_.reply_commands(*m, now, newer && !m->returning);
     if (commands.size() > 300) commands.resize(300);
     m->last_answer = now;
     place_wake_.wake();
     if (cluster_.has_writes()) write_wake_.wake();
     send_touched();
-    co_return Response{200, wire::report_answer(fencing_token, commands)};
+    co_return Response{200, wire::worker_heartbeat_answer(fencing_token, commands)};
 }
 
 void Leader::lease_renewed(const std::string& machine, TimePoint when) {
@@ -55,12 +56,13 @@
     auto now = Clock::now();
     for (auto& name : cluster_.take_touched()) {
         auto* m = cluster_.find_machine(name);
-        if (!m || m->pushing || !m->push_ok || !m->up || m->address.empty() || m->returning) continue;
+        if (!m || m->pushing || !m->push_reachable || !m->up || m->address.empty() || m->returning) continue;
         bool wanted = false;
-        for (auto& [a, e] : m->entries) {
+        for (auto& [a, e] : m->assignments) {
             if (e.exited()) continue;
-            if (e.stop ? (e.phase != fleet::Phase::recording && now - e.stop_sent > 1200ms)
-                       : e.phase == fleet::Phase::ready)
+            if (e.stop_requested
+                    ? (e.phase != fleet::AssignmentPhase::recording && now - e.stop_sent > 1200ms)
+                    : e.phase == fleet::AssignmentPhase::ready)
                 wanted = true;
         }
         if (wanted) spawn("push " + name, push(name, false));
@@ -77,20 +79,20 @@
         auto fencing_token = services_.election.fencing_token();
         cluster_.lead(fencing_token, acquired_);
         m->pushing = true;
-        auto session = m->session;
+        auto agent_epoch = m->agent_epoch;
         auto address = m->address;
         std::vector<wire::Command> commands;
         if (m->up) {
             commands = cluster_.push_commands(*m, now);
             for (auto& c : commands)
-                if (c.verb == wire::Verb::kill) m->entries.at(c.attempt).stop_sent = now;
+                if (c.verb == wire::Verb::kill) m->assignments.at(c.attempt).stop_sent = now;
         }
         if (commands.empty() && !fence) {
             m->pushing = false;
             co_return;
         }
         auto reply = co_await services_.workers.call(
-            address, verb::post, "/commands", wire::push_body(fencing_token, session, commands), 1500ms);
+            address, verb::post, "/commands", wire::push_json(fencing_token, agent_epoch, commands), 1500ms);
         m = cluster_.find_machine(name);
         if (!m) co_return;
         m->pushing = false;
@@ -99,34 +101,34 @@
         bool may_execute = reply.status == 0 && reply.may_execute;
         cluster_.push_answered(*m, commands, fencing_token, executed, may_execute, now);
         if (reply.status == 200 || reply.status == 409) {
-            m->push_ok = true;
-            contact_.direct(now);
-            auto report = wire::parse_report(reply.body);
-            if (report && report->machine == name) {
-                bool new_session = report->session != session;
-                cluster_.on_report(*report, false, now);
+            m->push_reachable = true;
+            reachability_.heard_directly(now);
+            auto heartbeat = wire::parse_worker_heartbeat(reply.body);
+            if (heartbeat && heartbeat->machine == name) {
+                bool new_agent_epoch = heartbeat->agent_epoch != agent_epoch;
+                cluster_.on_heartbeat(*heartbeat, false, now);
                 m = cluster_.find_machine(name);
-                // Refused for its session: once more with the right one. Refused for the token: another
+                // Refused for its agent epoch: once more with the right one. Refused for the token: another
                 // leads.
                 if (reply.status == 409) {
-                    if (report->fencing_token > services_.election.fencing_token()) {
-                        spdlog::warn("machine {} knows a newer token: {}", name, report->fencing_token);
+                    if (heartbeat->fencing_token > services_.election.fencing_token()) {
+                        spdlog::warn("machine {} knows a newer token: {}", name, heartbeat->fencing_token);
                         services_.election.suspect_lost_leadership();
                         co_return;
                     }
-                    again = new_session;
+                    again = new_agent_epoch;
                 } else {
                     fence = false;
                     again = true;
                 }
             } else {
-                spdlog::error("machine {} answers with something that is no report", name);
+                spdlog::error("machine {} answers with something that is no heartbeat", name);
             }
             place_wake_.wake();
             if (cluster_.has_writes()) write_wake_.wake();
         } else {
-            if (m->push_ok) spdlog::info("machine {} does not answer at its address", name);
-            m->push_ok = false;
+            if (m->push_reachable) spdlog::info("machine {} does not answer at its address", name);
+            m->push_reachable = false;
             m->probed = now;
         }
         if (again && !fence) {
@@ -134,8 +136,9 @@
             again = false;
             m = cluster_.find_machine(name);
             if (!m) co_return;
-            for (auto& [a, e] : m->entries)
-                if (!e.exited() && !e.stop && e.phase == fleet::Phase::ready) again = true;
+            for (auto& [a, e] : m->assignments)
+                if (!e.exited() && !e.stop_requested && e.phase == fleet::AssignmentPhase::ready)
+                    again = true;
         }
     }
 }
@@ -147,14 +150,14 @@
     m = cluster_.find_machine(name);
     if (!m) co_return;
     m->probing = false;
-    auto report = reply.status == 200 ? wire::parse_report(reply.body) : std::nullopt;
-    if (!report || report->machine != name) {
-        m->missed++;
+    auto heartbeat = reply.status == 200 ? wire::parse_worker_heartbeat(reply.body) : std::nullopt;
+    if (!heartbeat || heartbeat->machine != name) {
+        m->missed_probes++;
         co_return;
     }
-    m->push_ok = true;
-    contact_.direct(Clock::now());
-    cluster_.on_report(*report, false, Clock::now());
+    m->push_reachable = true;
+    reachability_.heard_directly(Clock::now());
+    cluster_.on_heartbeat(*heartbeat, false, Clock::now());
     place_wake_.wake();
     send_touched();
 }
--- a/src/renting/renting.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -1,34 +1,34 @@
-#include "renting/renting.hpp"
+#include "autoscaler/autoscaler.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 
-namespace barrowrun::renting {
+namespace barrowrun::autoscaler {
+using fleet::AssignmentPhase;
 using fleet::Machine;
-using fleet::Phase;
 using placement::Cluster;
 using placement::Job;
-using wire::Sort;
+using wire::JobKind;
 
-void Renting::refused(const Offer& offer, TimePoint now) {
+void Autoscaler::refused(const Offer& offer, TimePoint now) {
     auto& r = refusals_[offer];
     r.row = std::min(r.row + 1, 3);
     r.until = now + secs(4.0 * r.row);
 }
 
-bool Renting::refuses(const Offer& offer, TimePoint now) const {
+bool Autoscaler::refuses(const Offer& offer, TimePoint now) const {
     auto r = refusals_.find(offer);
     return r != refusals_.end() && now < r->second.until;
 }
 
-void Renting::granted(const Offer& offer) {
+void Autoscaler::granted(const Offer& offer) {
     refusals_.erase(offer);
 }
 
-void Renting::note_arrival(const wire::JobSpec& spec, TimePoint now) {
-    if (spec.sort == Sort::service) service_arrivals_.emplace_back(now, spec.tasks);
+void Autoscaler::note_arrival(const wire::JobSpec& spec, TimePoint now) {
+    if (spec.kind == JobKind::service) service_arrivals_.emplace_back(now, spec.tasks);
 }
 
 namespace {
@@ -61,7 +61,7 @@
 
 // Whether a job's tasks should all have started before a machine that is rented for it would be up.
 bool cannot_wait_for_boots(const Cluster& cluster, const wire::JobSpec& s) {
-    if (s.sort != Sort::array) return false;
+    if (s.kind != JobKind::array) return false;
     double boot = 1e9;
     for (auto& [name, t] : cluster.types())
         if (s.need.fits({t.cpus, t.gpus, t.mem_gb}) && !cluster.gpu_reserved(s, t))
@@ -80,27 +80,28 @@
 
 // Replicas outlast the bustle that spread them out. A machine that runs nothing else is emptied if all of
 // them find room, and their image, on other machines of their zone; the room kept for new services stays.
-std::string Renting::to_empty(const Cluster& cluster, TimePoint now, std::uint32_t keep_free) const {
+std::string Autoscaler::machine_to_drain(const Cluster& cluster, TimePoint now,
+                                         std::uint32_t keep_free) const {
     const Machine* best = nullptr;
     // Made once: rooms gathered anew for each of 600 candidates took the leader's share for half a second.
     std::vector<std::pair<const Machine*, wire::Resources>> all, room;
     for (auto& [name, m] : cluster.machines())
-        if (cluster.usable(*m, now) && m->any_live()) all.emplace_back(m.get(), m->room());
+        if (cluster.usable(*m, now) && m->has_live()) all.emplace_back(m.get(), m->available());
     for (auto& [candidate, own_room] : all) {
         const Machine& m = *candidate;
-        if (m.live() > 16 || now - m.rented < secs(90)) continue;
+        if (m.live() > 16 || now - m.provisioned_at < secs(90)) continue;
         if (best && m.live() >= best->live()) continue;
         room = all;
         std::erase_if(room, [&](auto& r) { return r.first == &m; });
         bool fits = true;
         wire::Resources need;
-        for (auto& [a, e] : m.entries) {
+        for (auto& [a, e] : m.assignments) {
             if (e.exited()) continue;
             auto job = cluster.jobs().find(a.task.job);
             // A start counts for its aim only if the task is left alone for a while.
-            bool settled = e.phase == Phase::seen && e.state == wire::TaskState::running && !e.stop &&
-                           now - e.running > secs(60);
-            if (job == cluster.jobs().end() || job->second->spec.sort != Sort::service || !settled) {
+            bool settled = e.phase == AssignmentPhase::confirmed && e.state == wire::TaskState::running &&
+                           !e.stop_requested && now - e.started_at > secs(60);
+            if (job == cluster.jobs().end() || job->second->spec.kind != JobKind::service || !settled) {
                 fits = false;
                 break;
             }
@@ -135,7 +136,7 @@
 
 // A class of arrays that should start sooner than a machine boots finds its room only where that is kept:
 // what it held at its height lately stays, or is rented again, while it holds less.
-void Renting::note_demand(const Cluster& cluster, TimePoint now) {
+void Autoscaler::note_demand(const Cluster& cluster, TimePoint now) {
     for (auto& [name, d] : demand_) d.now = 0;
     for (auto& [id, job] : cluster.jobs()) {
         if (job->cancelled || !cannot_wait_for_boots(cluster, job->spec)) continue;
@@ -154,8 +155,9 @@
     }
 }
 
-RentPlan Renting::plan(const Cluster& cluster, TimePoint now, const std::vector<Order>& coming) {
-    RentPlan out;
+ScalingPlan Autoscaler::plan(const Cluster& cluster, TimePoint now,
+                             const std::vector<MachineOrder>& pending) {
+    ScalingPlan out;
     if (cluster.types().empty()) return out;
     std::vector<Offer> offers;
     std::map<Offer, std::size_t> offer_index;
@@ -182,32 +184,35 @@
         return b;
     };
     // Machines asked for, without an answer yet.
-    for (auto& order : coming)
+    for (auto& order : pending)
         if (cluster.types().contains(order.offer.type))
             for (int k = 0; k < order.count; ++k) bins.push_back(fresh_bin(index_of(order.offer)));
     for (auto& [name, m] : cluster.machines()) {
-        if (m->returning || m->drain || m->faulty || m->suspect || m->taken_at || m->capacity.mem_gb <= 0)
+        if (m->returning || m->draining || m->quarantined_since || m->suspected || m->spot_reclaim_at ||
+            m->capacity.mem_gb <= 0)
             continue;
         // A machine that takes much longer than usual to come up may never do so: it is not counted on.
-        if (!m->up && m->entries.empty() && now - m->rented > secs(late_boot * boot_s(cluster, *m))) continue;
+        if (!m->up && m->assignments.empty() &&
+            now - m->provisioned_at > secs(late_boot * boot_s(cluster, *m)))
+            continue;
         Bin b;
         b.name = name;
         b.offer = index_of({m->type, m->zone, m->spot});
-        b.room = m->room();
-        b.used = m->any_live();
+        b.room = m->available();
+        b.used = m->has_live();
         b.images = m->images.size();  // of two alike, the one that has fetched more is kept
         b.fetch_gb_per_s = m->fetch_gb_per_s;
-        for (auto& [a, e] : m->entries)
-            if (e.stop && !e.exited()) b.room += e.need;
+        for (auto& [a, e] : m->assignments)
+            if (e.stop_requested && !e.exited()) b.room += e.need;
         b.soft = cluster.preemptible(*m, wire::Priority::production);
         b.soft_kept = cluster.preemptible(*m, wire::Priority::normal, true);
         b.array_cpus = std::max(0.0, b.room.cpus);
-        if (!m->up) b.ready_s = std::max(2.0, boot_s(cluster, *m) - Seconds(now - m->rented).count());
-        for (auto& [a, e] : m->entries) {
-            if (e.exited() || e.stop) continue;
+        if (!m->up) b.ready_s = std::max(2.0, boot_s(cluster, *m) - Seconds(now - m->provisioned_at).count());
+        for (auto& [a, e] : m->assignments) {
+            if (e.exited() || e.stop_requested) continue;
             auto job = cluster.jobs().find(a.task.job);
-            if (job == cluster.jobs().end() || job->second->spec.sort != Sort::array) continue;
-            double ran = e.running == TimePoint{} ? 0 : Seconds(now - e.running).count();
+            if (job == cluster.jobs().end() || job->second->spec.kind != JobKind::array) continue;
+            double ran = e.started_at == TimePoint{} ? 0 : Seconds(now - e.started_at).count();
             b.array_cpus += e.need.cpus;
             double rest = std::max(2.0, job->second->run_guess() - ran);
             b.committed += e.need.cpus * rest;
@@ -226,7 +231,7 @@
     auto asked_of = [&](const Offer& offer) {
         int n = 0;
         if (auto it = orders.find(offer); it != orders.end()) n += it->second;
-        for (auto& order : coming)
+        for (auto& order : pending)
             if (order.offer == offer) n += order.count;
         return n;
     };
@@ -304,7 +309,7 @@
     auto allowed_of = [&](const Job& job, std::uint32_t n) {
         if (!planned || n == 0) return n;
         auto k = planned->admitted(job.account, job.spec.need, n);
-        if (job.spec.sort == Sort::gang && k < n) return 0u;
+        if (job.spec.kind == JobKind::gang && k < n) return 0u;
         for (std::uint32_t i = 0; i < k; ++i) planned->charge(job.account, job.spec.need);
         return k;
     };
@@ -318,7 +323,7 @@
             const Job& job = *it->second;
             if (job.cancelled || job.errors_in_row > 4) continue;
             std::uint32_t n = allowed_of(job, job.waiting.size());
-            if (job.spec.sort == Sort::array) {
+            if (job.spec.kind == JobKind::array) {
                 // Tasks that run one after the other on the same slot need fewer slots.
                 double run = job.run_guess() + 1;
                 double time = cluster.time_left(job, now);
@@ -378,7 +383,7 @@
     double tasks = 0;
     for (auto& a : service_arrivals_) tasks += a.second;
     for (auto& [id, job] : cluster.jobs())
-        if (job->spec.sort == Sort::service) {
+        if (job->spec.kind == JobKind::service) {
             headroom = job->spec;
             break;
         }
@@ -397,36 +402,37 @@
     // what the rate will not take soon is left to a later plan.
     for (auto& [offer, n] : orders)
         for (int left = n; left > 0; left -= most_per_request)
-            out.rent.push_back({offer, std::min(left, most_per_request)});
-    std::stable_sort(out.rent.begin(), out.rent.end(), [](auto& x, auto& y) { return x.count > y.count; });
+            out.scale_out.push_back({offer, std::min(left, most_per_request)});
+    std::stable_sort(out.scale_out.begin(), out.scale_out.end(),
+                     [](auto& x, auto& y) { return x.count > y.count; });
 
     for (auto& b : bins) {
         if (b.name.empty() || b.used) continue;
         auto& m = *cluster.machines().at(b.name);
         if (!m.up) continue;
         // A minute is charged in any case; after that a little patience, since work comes all the time.
-        if (now - m.idle_since > secs(cluster.rules().idle_return_s) && now - m.rented > secs(55))
-            out.give_back.push_back(b.name);
+        if (now - m.idle_since > secs(cluster.rules().idle_return_s) && now - m.provisioned_at > secs(55))
+            out.scale_in.push_back(b.name);
     }
     // Where room is kept for arrays, what it frees would be kept as well: replicas would move for nothing.
     bool kept = std::any_of(demand_.begin(), demand_.end(),
                             [](auto& d) { return d.second.peaks.front().second > 0; });
-    if (!kept && out.rent.empty() && out.give_back.empty() && cluster.queue().waiting() == 0)
-        out.empty = to_empty(cluster, now, headroom_tasks);
+    if (!kept && out.scale_out.empty() && out.scale_in.empty() && cluster.queue().waiting() == 0)
+        out.drain = machine_to_drain(cluster, now, headroom_tasks);
     for (auto& [name, m] : cluster.machines()) {
         if (m->returning) continue;
-        bool never = !m->up && m->entries.empty() &&
-                     now - m->rented > secs(hopeless_boot * boot_s(cluster, *m) + 5) &&
-                     now - m->known > secs(15);
+        bool never = !m->up && m->assignments.empty() &&
+                     now - m->provisioned_at > secs(hopeless_boot * boot_s(cluster, *m) + 5) &&
+                     now - m->known_since > secs(15);
         if (never) {
             spdlog::warn("machine {} has not come up in {:.0f} s: it is returned", name,
-                         Seconds(now - m->rented).count());
-            out.give_back.push_back(name);
-        } else if ((m->drain || m->faulty) && !m->any_live()) {
-            out.give_back.push_back(name);
+                         Seconds(now - m->provisioned_at).count());
+            out.scale_in.push_back(name);
+        } else if ((m->draining || m->quarantined_since) && !m->has_live()) {
+            out.scale_in.push_back(name);
         }
     }
     return out;
 }
 
-}  // namespace barrowrun::renting
+}  // namespace barrowrun::autoscaler
--- a/src/renting/renting.hpp
+++ b/src/autoscaler/autoscaler.hpp
@@ -7,7 +7,7 @@
 
 #include "placement/cluster.hpp"
 
-namespace barrowrun::renting {
+namespace barrowrun::autoscaler {
 
 struct Offer {
     std::string type, zone;
@@ -15,25 +15,26 @@
     auto operator<=>(const Offer&) const = default;
 };
 
-struct Order {
+struct MachineOrder {
     Offer offer;
     int count = 0;
 };
 
-struct RentPlan {
-    std::vector<Order> rent;
-    std::vector<std::string> give_back;
-    std::string empty;  // a machine whose replicas have room elsewhere
+struct ScalingPlan {
+    std::vector<MachineOrder> scale_out;
+    std::vector<std::string> scale_in;
+    std::string drain;  // a machine whose replicas have room elsewhere
 };
 
-class Renting {
+class Autoscaler {
   public:
     // A refusal for lack of capacity keeps the offer off the list for a while.
     void refused(const Offer& offer, TimePoint now);
     void granted(const Offer& offer);
     bool refuses(const Offer& offer, TimePoint now) const;
     // `coming`: machines asked for whose requests are not answered yet.
-    RentPlan plan(const placement::Cluster& cluster, TimePoint now, const std::vector<Order>& coming = {});
+    ScalingPlan plan(const placement::Cluster& cluster, TimePoint now,
+                     const std::vector<MachineOrder>& pending = {});
     void note_arrival(const wire::JobSpec& spec, TimePoint now);
 
   private:
@@ -44,7 +45,8 @@
         std::uint32_t now = 0;
     };
     void note_demand(const placement::Cluster& cluster, TimePoint now);
-    std::string to_empty(const placement::Cluster& cluster, TimePoint now, std::uint32_t keep_free) const;
+    std::string machine_to_drain(const placement::Cluster& cluster, TimePoint now,
+                                 std::uint32_t keep_free) const;
     struct Refusal {
         TimePoint until{};
         int row = 0;
@@ -54,4 +56,4 @@
     std::deque<std::pair<TimePoint, std::uint32_t>> service_arrivals_;  // tasks of services, lately
 };
 
-}  // namespace barrowrun::renting
+}  // namespace barrowrun::autoscaler
--- a/src/cells/spill.cpp
+++ b/src/cells/spill.cpp
@@ -132,7 +132,7 @@
     auto views = views_;
     for (auto& c : waiting) {
         if (out.size() >= most) break;
-        if (c.sort != wire::Sort::array || c.waiting == 0 || c.waited < settings.spill_after) continue;
+        if (c.kind != wire::JobKind::array || c.waiting == 0 || c.waited < settings.spill_after) continue;
         std::string to;
         std::uint32_t room = 0;
         for (auto& n : settings.neighbours) {
--- a/src/cells/spill.hpp
+++ b/src/cells/spill.hpp
@@ -33,7 +33,7 @@
 // A job of which tasks wait here, in the queues' order.
 struct Candidate {
     std::string id, team;
-    wire::Sort sort = wire::Sort::array;
+    wire::JobKind kind = wire::JobKind::array;
     wire::Resources need;
     std::uint32_t waiting = 0;
     Clock::duration waited{};
--- a/src/ctl/jobs.cpp
+++ b/src/ctl/jobs.cpp
@@ -35,7 +35,9 @@
     s.job_class = j.value("class", "batch");
     s.team = j.value("team", site.team);
     auto sort = j.value("sort", "array");
-    s.sort = sort == "gang" ? wire::Sort::gang : sort == "service" ? wire::Sort::service : wire::Sort::array;
+    s.kind = sort == "gang"      ? wire::JobKind::gang
+             : sort == "service" ? wire::JobKind::service
+                                 : wire::JobKind::array;
     s.priority = wire::priority_of(j.value("rank", "normal")).value();
     s.tasks = j.value("tasks", 1u);
     s.need = {j.value("cpus", 1.0), j.value("gpus", 0.0), j.value("mem_gb", 0.25)};
@@ -45,7 +47,7 @@
     s.one_zone = j.value("one_zone", false);
     s.spread = j.value("spread", false);
     s.spot_ok = j.value("spot", false);
-    s.estimate_s = j.value("estimate_s", s.sort == wire::Sort::service ? 0.0 : 60.0);
+    s.estimate_s = j.value("estimate_s", s.kind == wire::JobKind::service ? 0.0 : 60.0);
     s.checkpoint_s = j.value("checkpoint_s", 0.0);
     s.save_s = j.value("save_s", 0.0);
     if (j.contains("deadline_s")) s.deadline_s = j["deadline_s"];
@@ -61,14 +63,14 @@
 void show(const Options& options, const wire::JobStatus& s) {
     if (options.json) {
         json line{{"job", s.id},
-                  {"state", wire::standing_name(s.standing)},
+                  {"state", wire::job_state_name(s.state)},
                   {"done", s.done},
                   {"running", s.running}};
         if (s.errors) line["errors"] = s.errors->errors;
         print(line);
         return;
     }
-    std::printf("%s %s, %llu tasks done, %llu running", s.id.c_str(), wire::standing_name(s.standing),
+    std::printf("%s %s, %llu tasks done, %llu running", s.id.c_str(), wire::job_state_name(s.state),
                 static_cast<unsigned long long>(s.done), static_cast<unsigned long long>(s.running));
     if (s.errors) std::printf(", %llu failures", static_cast<unsigned long long>(s.errors->errors));
     if (s.errors && s.errors->last)
@@ -76,8 +78,8 @@
     std::puts("");
 }
 
-int status_of(wire::Standing s) {
-    return s == wire::Standing::failed || s == wire::Standing::cancelled ? failed : good;
+int status_of(wire::JobState s) {
+    return s == wire::JobState::failed || s == wire::JobState::cancelled ? failed : good;
 }
 
 int say_no(const std::string& id, const client::Outcome& o) {
@@ -90,10 +92,10 @@
 Task<int> follow(const Options& options, client::Client& client, std::string id) {
     for (;;) {
         auto o = co_await client.status(id);
-        if (o.answer == Answer::accepted && o.status.standing != wire::Standing::queued &&
-            o.status.standing != wire::Standing::running) {
+        if (o.answer == Answer::accepted && o.status.state != wire::JobState::queued &&
+            o.status.state != wire::JobState::running) {
             show(options, o.status);
-            co_return status_of(o.status.standing);
+            co_return status_of(o.status.state);
         }
         co_await net::sleep_for(std::chrono::milliseconds(300));
     }
@@ -129,7 +131,7 @@
             if (auto r = depot.last_result({id, 0}))
                 std::fputs(depot.output({id, 0}, r->attempt, 1 << 20).value_or("").c_str(), stdout);
         }
-        co_return status_of(o.status.standing);
+        co_return status_of(o.status.state);
     });
 }
 
--- a/src/fleet/sheets.hpp
+++ b/src/fleet/assignment_shards.hpp
@@ -15,52 +15,52 @@
 
 namespace barrowrun::fleet {
 
-class Sheets {
+class AssignmentShards {
   public:
-    using Number = std::uint32_t;
+    using ShardId = std::uint32_t;
     // How pressing a start is: the higher level first, then the older.
-    using Rank = std::pair<wire::Priority, TimePoint>;
+    using Urgency = std::pair<wire::Priority, TimePoint>;
 
-    explicit Sheets(std::size_t value_bytes) : value_bytes_(value_bytes) {}
+    explicit AssignmentShards(std::size_t value_bytes) : value_bytes_(value_bytes) {}
 
     // A start on the machine waits to be recorded.
-    void start(const std::string& machine, Rank rank);
+    void add_start(const std::string& machine, Urgency urgency);
     // Something else about it is to be recorded with the next occasion.
-    void change(const std::string& machine);
-    void remove(const std::string& machine);
+    void mark_changed(const std::string& machine);
+    void remove_machine(const std::string& machine);
     // A record of a predecessor names it; sheets come in rising order. Two may name one, after a crash within
     // a move: the lower becomes its home and is written, with what either named, before the other.
-    void inherit(Number sheet, const std::string& machine);
+    void recover(ShardId shard, const std::string& machine);
 
     // A record that cannot be read: it is neither used nor overwritten, so that a successor sees it too.
-    void set_aside(Number sheet) { sheets_[sheet].bytes = value_bytes_; }
+    void quarantine(ShardId shard) { shards_[shard].bytes = value_bytes_; }
 
-    // Sheets to write, the most pressing first; with `all` also those that no start waits for.
-    std::vector<Number> due(bool all) const;
-    bool any(bool all) const;
-    std::size_t changed() const { return due(true).size(); }
-    const std::set<std::string>& machines(Number sheet) const;
+    // AssignmentShards to write, the most pressing first; with `all` also those that no start waits for.
+    std::vector<ShardId> due(bool all) const;
+    bool any_due(bool all) const;
+    std::size_t changed_count() const { return due(true).size(); }
+    const std::set<std::string>& machines(ShardId shard) const;
     // The value was measured. False: it is too large. Then half of its machines stand on a new sheet, and
     // this one is not due before that is on record: else a crash between the two would lose them.
-    bool fits(Number sheet, std::size_t bytes);
-    void taken(Number sheet);    // its value is on its way
-    void durable(Number sheet);  // and on record
-    void failed(Number sheet);   // or not
+    bool record_size(ShardId shard, std::size_t bytes);
+    void on_write_sent(ShardId shard);     // its value is on its way
+    void on_write_durable(ShardId shard);  // and on record
+    void on_write_failed(ShardId shard);   // or not
 
   private:
-    struct Sheet {
+    struct Shard {
         std::set<std::string> machines;
         std::size_t bytes = 0;
-        std::optional<Rank> pressing;
+        std::optional<Urgency> urgency;
         bool changed = false;
-        std::set<Number> after;  // not written before these are on record
+        std::set<ShardId> write_after;  // not written before these are on record
     };
-    Sheet& home(const std::string& machine);
-    Number fresh() const;
-    bool is_due(Number n, const Sheet& sheet, bool all) const;
+    Shard& shard_of(const std::string& machine);
+    ShardId unused_id() const;
+    bool is_due(ShardId n, const Shard& shard, bool all) const;
     std::size_t value_bytes_;
-    std::map<Number, Sheet> sheets_;
-    std::unordered_map<std::string, Number> home_;
+    std::map<ShardId, Shard> shards_;
+    std::unordered_map<std::string, ShardId> shard_of_machine_;
 };
 
 }  // namespace barrowrun::fleet
--- a/src/fleet/cloud_client.cpp
+++ b/src/fleet/cloud_client.cpp
@@ -4,14 +4,14 @@
 using net::http::verb;
 using namespace std::chrono_literals;
 
-Task<> CloudClient::turn() {
+Task<> CloudClient::wait_for_rate_budget() {
     auto wait = budget_.reserve(Clock::now(), 1);
     if (wait > Clock::duration::zero()) co_await net::sleep_for(wait);
 }
 
 Task<net::Reply> CloudClient::call(verb method, std::string target, std::optional<wire::Json> body,
                                    Clock::duration deadline, bool charged) {
-    if (!charged) co_await turn();
+    if (!charged) co_await wait_for_rate_budget();
     auto reply =
         co_await client_.call(address_, method, std::move(target), std::move(body), deadline, 4 << 20);
     // "no capacity" is an answer, though it comes as a 503.
@@ -21,7 +21,7 @@
     co_return reply;
 }
 
-Task<> CloudClient::look() {
+Task<> CloudClient::check_reachability() {
     const bool reached = co_await client_.reaches(address_, 800ms);
     if (auto line = reach_.note(reached, Clock::now())) spdlog::warn("{}", *line);
 }
@@ -46,26 +46,26 @@
     }
 }
 
-Task<RentResult> CloudClient::rent(std::string request, std::string type, std::string zone, bool spot,
-                                   int n) {
-    auto body = wire::rent_body(request, type, zone, spot, n);
+Task<ProvisioningResult> CloudClient::provision(std::string request, std::string type, std::string zone,
+                                                bool spot, int n) {
+    auto body = wire::provisioning_request_json(request, type, zone, spot, n);
     auto reply = co_await call(verb::post, "/rentals", std::move(body), 4s, true);
-    RentResult out;
+    ProvisioningResult out;
     if (reply.status == 200) {
         auto names = wire::parse_machine_names(reply.body);
         if (!names) co_return out;
-        out.outcome = RentOutcome::granted;
+        out.outcome = ProvisioningOutcome::granted;
         out.machines = std::move(*names);
     } else if (reply.status == 503 && wire::text(reply.body, "error") == "no capacity") {
-        out.outcome = RentOutcome::no_capacity;
+        out.outcome = ProvisioningOutcome::no_capacity;
     } else if (reply.status == 400) {
-        out.outcome = RentOutcome::refused;
+        out.outcome = ProvisioningOutcome::refused;
     }
     co_return out;
 }
 
-Task<bool> CloudClient::give_back(std::vector<std::string> names) {
-    auto body = wire::return_body(names);
+Task<bool> CloudClient::return_machines(std::vector<std::string> names) {
+    auto body = wire::return_request_json(names);
     auto reply = co_await call(verb::post, "/rentals/return", std::move(body), 5s);
     co_return reply.status == 200;
 }
--- a/src/fleet/cloud_client.hpp
+++ b/src/fleet/cloud_client.hpp
@@ -8,10 +8,10 @@
 
 using net::Task;
 
-enum class RentOutcome { granted, no_capacity, refused, unknown };
+enum class ProvisioningOutcome { granted, no_capacity, refused, unknown };
 
-struct RentResult {
-    RentOutcome outcome = RentOutcome::unknown;
+struct ProvisioningResult {
+    ProvisioningOutcome outcome = ProvisioningOutcome::unknown;
     std::vector<std::string> machines;
 };
 
@@ -22,12 +22,13 @@
     Task<std::optional<std::vector<wire::MachineType>>> types();
     Task<std::optional<wire::MachineList>> list();
     // Whether it takes connections, for the log alone: no request is made. Only leaders ask it anything.
-    Task<> look();
+    Task<> check_reachability();
     // Waits until the cloud's rate lets the next rental through.
-    Task<> turn();
-    Task<RentResult> rent(std::string request, std::string type, std::string zone, bool spot, int n);
+    Task<> wait_for_rate_budget();
+    Task<ProvisioningResult> provision(std::string request, std::string type, std::string zone, bool spot,
+                                       int n);
     // True once the cloud says that the machines and everything on them are gone.
-    Task<bool> give_back(std::vector<std::string> names);
+    Task<bool> return_machines(std::vector<std::string> names);
 
   private:
     Task<net::Reply> call(net::http::verb method, std::string target, std::optional<wire::Json> body,
--- a/src/lab/cloud_model.cpp
+++ b/src/lab/cloud_model.cpp
@@ -24,7 +24,7 @@
     return nullptr;
 }
 
-bool CloudModel::known(const wire::RentRequest& r) const {
+bool CloudModel::known(const wire::ProvisioningRequest& r) const {
     auto* t = type(r.type);
     return t && std::find(t->zones.begin(), t->zones.end(), r.zone) != t->zones.end();
 }
@@ -44,7 +44,7 @@
     return name;
 }
 
-std::optional<std::vector<std::string>> CloudModel::rent(const wire::RentRequest& r, TimePoint now) {
+std::optional<std::vector<std::string>> CloudModel::rent(const wire::ProvisioningRequest& r, TimePoint now) {
     if (auto it = hires_.find(r.request); it != hires_.end()) return it->second;
     auto n = std::min<std::size_t>(static_cast<std::size_t>(r.count),
                                    limits_.machines - std::min(limits_.machines, alive().size()));
--- a/src/lab/cloud_model.hpp
+++ b/src/lab/cloud_model.hpp
@@ -31,8 +31,8 @@
     const std::vector<wire::MachineType>& types() const { return types_; }
     bool within_rate(TimePoint now);
     // The names, or nothing: none to be had. A malformed request is the caller's to refuse: `known` tells.
-    std::optional<std::vector<std::string>> rent(const wire::RentRequest& r, TimePoint now);
-    bool known(const wire::RentRequest& r) const;
+    std::optional<std::vector<std::string>> rent(const wire::ProvisioningRequest& r, TimePoint now);
+    bool known(const wire::ProvisioningRequest& r) const;
     // Machines that are there before anyone asks.
     void warm(std::size_t n, TimePoint now);
     // Whose processes are to be started now.
--- a/src/lab/cloud_service.cpp
+++ b/src/lab/cloud_service.cpp
@@ -191,7 +191,7 @@
         co_return Response{200, wire::machine_list_json(model_.list(
                                     target.text("since"), target.number("page").value_or(500), now))};
     if (post && target.path == "/rentals") {
-        auto r = wire::parse_rent(body);
+        auto r = wire::parse_provisioning_request(body);
         if (!r || !model_.known(*r)) co_return Response{400, {{"error", "malformed"}}};
         auto names = model_.rent(*r, now);
         if (!names) co_return Response{503, {{"error", "no capacity"}}};
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -204,7 +204,7 @@
         sub->add_option("--cpus", site.cpus, "CPUs of each")->check(CLI::Range(0.1, 1024.0));
         sub->add_option("--gpus", site.gpus, "cards of each")->check(CLI::Range(0.0, 64.0));
         sub->add_option("--mem-gb", site.mem_gb, "memory of each")->check(CLI::Range(0.1, 65536.0));
-        sub->add_option("--report-s", site.report_s, "workers' report interval")
+        sub->add_option("--report-s", site.heartbeat_s, "workers' report interval")
             ->check(CLI::Range(0.1, 60.0));
         sub->add_option("--lease-s", site.lease_s, "workers' lease")->check(CLI::Range(2.0, 600.0));
         sub->add_option("--operator", site.operators, "a file with more of the operator's settings");
--- a/src/lab/site.cpp
+++ b/src/lab/site.cpp
@@ -95,7 +95,7 @@
              {"teams", std::move(teams)},
              {"objectives", Json::array()},
              {"workers",
-              {{"report_s", settings_.report_s},
+              {{"report_s", settings_.heartbeat_s},
                {"lease_s", settings_.lease_s},
                {"gang_wait_s", 10.0},
                {"gang_peer_s", 2.0},
@@ -221,7 +221,7 @@
                {"zones", zones},
                {"worker_settings",
                 {{"depot", depot()},
-                 {"report_s", settings_.report_s},
+                 {"report_s", settings_.heartbeat_s},
                  {"lease_s", settings_.lease_s},
                  {"gang_wait_s", 10.0},
                  {"gang_peer_s", 2.0}}}};
--- a/src/lab/site.hpp
+++ b/src/lab/site.hpp
@@ -19,7 +19,7 @@
     // can be cut off from everything outside and goes on inside. State service, cloud and users belong to no
     // zone.
     std::vector<std::string> zones{"lab"};
-    double report_s = 1, lease_s = 8, hold_s = 2;
+    double heartbeat_s = 1, lease_s = 8, hold_s = 2;
     std::string team = "lab";
     // One of several cells: its name, and where all of them keep what users and workers share.
     std::string cell, depot;
--- a/src/leases/leases.cpp
+++ b/src/leases/leases.cpp
@@ -106,10 +106,10 @@
            !grant_.excluded_machines.contains(machine);
 }
 
-bool LeaseRenewer::may_renew_cut_off(const wire::Report& report, TimePoint now, bool cut_off) {
-    if (!cut_off || report.zone != zone_ || !may_renew(report.machine, now)) return false;
+bool LeaseRenewer::may_renew_cut_off(const wire::WorkerHeartbeat& heartbeat, TimePoint now, bool cut_off) {
+    if (!cut_off || heartbeat.zone != zone_ || !may_renew(heartbeat.machine, now)) return false;
     // A worker that knows a higher token would drop the answer and stay here while its lease runs out.
-    if (report.fencing_token > grant_.fencing_token || now < renewal_paused_until_) return false;
+    if (heartbeat.fencing_token > grant_.fencing_token || now < renewal_paused_until_) return false;
     last_renewal_ = now;
     return true;
 }
--- a/src/leases/leases.hpp
+++ b/src/leases/leases.hpp
@@ -64,9 +64,9 @@
     // answers now. Whoever hasn't read the records has no better right, a new leader included
     // (docs/incidents/unread-leader.md).
     bool may_renew(const std::string& machine, TimePoint now) const;
-    // Whether the report may be answered with the token alone. `cut_off`: neither the leader nor the state
+    // Whether the heartbeat may be answered with the token alone. `cut_off`: neither the leader nor the state
     // service is heard.
-    bool may_renew_cut_off(const wire::Report& report, TimePoint now, bool cut_off);
+    bool may_renew_cut_off(const wire::WorkerHeartbeat& heartbeat, TimePoint now, bool cut_off);
     std::uint64_t fencing_token() const { return grant_.fencing_token; }
 
   private:
--- a/src/net/rooms.hpp
+++ b/src/net/rooms.hpp
@@ -2,7 +2,7 @@
 // Which connections a server keeps when room is short. Plain decisions: no I/O, no clock.
 //
 // Found on loopback: 1,500 connections that sent half a header and stopped held the whole server for two
-// minutes; health checks and workers' reports were turned away with everyone else.
+// minutes; health checks and workers' heartbeats were turned away with everyone else.
 #include <cstdint>
 #include <list>
 #include <map>
--- a/src/placement/attempts.cpp
+++ b/src/placement/attempts.cpp
@@ -1,4 +1,4 @@
-// Machines, and the life of the attempts on them: reports, commands, stops, ends.
+// Machines, and the life of the attempts on them: heartbeats, commands, stops, ends.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -12,10 +12,10 @@
 // Names remembered: some fleets' worth.
 constexpr std::size_t most_gone = 50'000;
 }  // namespace
-using fleet::Change;
+using fleet::AssignmentChange;
 using wire::Cause;
+using wire::JobKind;
 using wire::Priority;
-using wire::Sort;
 using wire::TaskState;
 
 Machine* Cluster::find_machine(const std::string& name) {
@@ -33,7 +33,7 @@
     m.type = type;
     m.zone = zone;
     m.spot = spot;
-    m.known = m.rented = m.idle_since = now;
+    m.known_since = m.provisioned_at = m.idle_since = now;
     if (auto t = types_.find(type); t != types_.end()) {
         m.capacity = {t->second.cpus, t->second.gpus, t->second.mem_gb};
         m.cache_gb = t->second.cache_gb;
@@ -43,28 +43,28 @@
     return m;
 }
 
-void Cluster::inherit(std::uint32_t sheet, const state::MachineRecord& record, TimePoint now,
-                      std::int64_t wall_ms) {
+void Cluster::recover_machine(std::uint32_t shard, const state::MachineRecord& record, TimePoint now,
+                              std::int64_t wall_ms) {
     const auto& name = record.name;
-    sheets_.inherit(sheet, name);
+    shards_.recover(shard, name);
     Machine& m = add_machine(name, record.type, record.zone, record.spot, now);
     if (!record.address.empty()) m.address = record.address;
-    if (record.rented_ms)
-        m.rented = now - std::chrono::milliseconds(
-                             std::clamp<std::int64_t>(wall_ms - record.rented_ms, 0, 86'400'000));
+    if (record.provisioned_ms)
+        m.provisioned_at = now - std::chrono::milliseconds(std::clamp<std::int64_t>(
+                                     wall_ms - record.provisioned_ms, 0, 86'400'000));
     for (auto& a : record.attempts) {
-        Entry e;
-        e.phase = Phase::inherited;
-        e.since = now;
+        Assignment e;
+        e.phase = AssignmentPhase::recovered;
+        e.placed_at = now;
         Job* job = find_job(a.task.job);
         if (job) {
             occupy(*job, a, e, m);
-            if (job->cancelled) e.stop = true;
+            if (job->cancelled) e.stop_requested = true;
         } else {
-            e.stop = true;
+            e.stop_requested = true;
             strangers_.insert(a.task.job);
         }
-        m.entries.emplace(a, e);
+        m.assignments.emplace(a, e);
     }
 }
 
@@ -77,7 +77,7 @@
     auto it = machines_.find(name);
     if (it == machines_.end()) return;
     Machine& m = *it->second;
-    std::vector<Change> changes;
+    std::vector<AssignmentChange> changes;
     std::size_t n = m.live();
     m.clear(changes);
     if (n)
@@ -86,40 +86,40 @@
         spdlog::info("machine {} is gone ({})", name, proof);
     apply(m, changes, now);
     // In no hurry: a record may name what is gone, never the other way round.
-    sheets_.remove(name);
+    shards_.remove_machine(name);
     rooms_.removed(m);
     machines_.erase(it);
 }
 
 void Cluster::lease_over(Machine& m, TimePoint now) {
-    // The worker has killed and forgotten everything; launches still on their way name its old session.
-    std::vector<Change> changes;
+    // The worker has killed and forgotten everything; launches still on their way name its old agent epoch.
+    std::vector<AssignmentChange> changes;
     std::size_t n = m.live();
     m.clear(changes);
     if (n) spdlog::info("machine {}: its lease has run out, {} tasks move", m.name, n);
     apply(m, changes, now);
 }
 
-bool Cluster::on_report(const wire::Report& report, bool hello, TimePoint now) {
-    // Reports that a cut had held came from 338 machines that had been returned meanwhile: they were taken
+bool Cluster::on_heartbeat(const wire::WorkerHeartbeat& heartbeat, bool from_heartbeat_route, TimePoint now) {
+    // Heartbeats that a cut had held came from 338 machines that had been returned meanwhile: they were taken
     // for new ones, and what really ran was stopped as "also elsewhere"
     // (docs/incidents/leader-without-workers.md).
-    if (gone_.contains(report.machine)) return false;
-    Machine* known = find_machine(report.machine);
+    if (gone_.contains(heartbeat.machine)) return false;
+    Machine* known = find_machine(heartbeat.machine);
     if (!known) {
-        known = &add_machine(report.machine, report.type, report.zone, report.spot, now);
-        spdlog::info("machine {} ({}, {}{}) reports for the first time", report.machine, report.type,
-                     report.zone, report.spot ? ", spot" : "");
-        mark_machine_dirty(report.machine);
+        known = &add_machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, now);
+        spdlog::info("machine {} ({}, {}{}) sent its first heartbeat", heartbeat.machine, heartbeat.type,
+                     heartbeat.zone, heartbeat.spot ? ", spot" : "");
+        mark_machine_dirty(heartbeat.machine);
     }
     Machine& m = *known;
     bool first = !m.up;
     std::string old_address = m.address;
-    std::vector<Change> changes;
-    if (!m.apply(report, hello, first_fencing_token_, now, changes)) return false;
+    std::vector<AssignmentChange> changes;
+    if (!m.apply_heartbeat(heartbeat, from_heartbeat_route, first_fencing_token_, now, changes)) return false;
     if (first) {
         if (m.type.empty()) {
-            m.type = report.type, m.zone = report.zone, m.spot = report.spot;
+            m.type = heartbeat.type, m.zone = heartbeat.zone, m.spot = heartbeat.spot;
             if (auto t = types_.find(m.type); t != types_.end()) {
                 m.capacity = {t->second.cpus, t->second.gpus, t->second.mem_gb};
                 m.cache_gb = t->second.cache_gb;
@@ -132,26 +132,26 @@
     }
     apply(m, changes, now);
     reconcile_reported(m, now);
-    if (m.any_live()) m.idle_since = now;
+    if (m.has_live()) m.idle_since = now;
     return true;
 }
 
-void Cluster::apply(Machine& m, const std::vector<Change>& changes, TimePoint now) {
+void Cluster::apply(Machine& m, const std::vector<AssignmentChange>& changes, TimePoint now) {
     if (!changes.empty()) rooms_.changed(m);
     for (auto& c : changes) {
         Job* job = find_job(c.attempt.task.job);
         auto index = c.attempt.task.index;
         if (job && index >= job->spec.tasks) job = nullptr;
-        if (c.kind == Change::vanished) {
-            Entry gone = c.entry;
+        if (c.kind == AssignmentChange::lost) {
+            Assignment gone = c.assignment;
             release(gone);
-        } else if (c.kind == Change::ended) {
-            if (auto it = m.entries.find(c.attempt); it != m.entries.end()) release(it->second);
+        } else if (c.kind == AssignmentChange::ended) {
+            if (auto it = m.assignments.find(c.attempt); it != m.assignments.end()) release(it->second);
         }
         switch (c.kind) {
-            case Change::adopted: {
-                auto it = m.entries.find(c.attempt);
-                if (it == m.entries.end()) break;
+            case AssignmentChange::confirmed: {
+                auto it = m.assignments.find(c.attempt);
+                if (it == m.assignments.end()) break;
                 if (!job) {
                     if (!past_.contains(c.attempt.task.job)) strangers_.insert(c.attempt.task.job);
                     break;
@@ -159,40 +159,41 @@
                 occupy(*job, c.attempt, it->second, m);
                 break;
             }
-            case Change::started:
+            case AssignmentChange::started:
                 if (job) m.use_image(job->spec.image, job->spec.image_gb);
                 break;
-            case Change::ended:
-                ended(m, c.attempt, c.entry, now);
+            case AssignmentChange::ended:
+                ended(m, c.attempt, c.assignment, now);
                 break;
-            case Change::vanished:
+            case AssignmentChange::lost:
                 if (!job) break;
-                if (c.entry.phase != Phase::recording && c.entry.phase != Phase::ready)
+                if (c.assignment.phase != AssignmentPhase::recording &&
+                    c.assignment.phase != AssignmentPhase::ready)
                     spdlog::debug("{} attempt {} is no longer on {}", c.attempt.task.str(), c.attempt.number,
                                   m.name);
                 unplace(*job, index, m.name, c.attempt.number);
-                if (job->spec.sort == Sort::gang && !job->finished())
+                if (job->spec.kind == JobKind::gang && !job->finished())
                     stop_gang(*job, 0, now, "a gang task is gone");
                 break;
         }
     }
 }
 
-void Cluster::ended(Machine& m, const Attempt& a, const Entry& e, TimePoint now) {
+void Cluster::ended(Machine& m, const Attempt& a, const Assignment& e, TimePoint now) {
     touch(m.name);
     Job* job = find_job(a.task.job);
     if (!job || a.task.index >= job->spec.tasks) return;
-    bool counted = e.running != TimePoint{} && e.running > e.since;
-    double ran = counted ? Seconds(now - e.running).count() : 0;
+    bool counted = e.started_at != TimePoint{} && e.started_at > e.placed_at;
+    double ran = counted ? Seconds(now - e.started_at).count() : 0;
     switch (e.cause) {
         case Cause::done:
             faults::succeeded(m);
             job->errors_in_row = 0;
-            if (counted && job->spec.sort == Sort::array) {
+            if (counted && job->spec.kind == JobKind::array) {
                 job->run_sum += ran;
                 job->runs++;
             }
-            if (job->spec.sort == Sort::gang) {
+            if (job->spec.kind == JobKind::gang) {
                 for (std::uint32_t i = 0; i < job->spec.tasks; ++i) finish_task(*job, i);
             } else {
                 finish_task(*job, a.task.index);
@@ -224,35 +225,36 @@
         case Cause::no_room:
         case Cause::busy:
         case Cause::unknown:
-            spdlog::info("{} refused a start of {}: {}", m.name, a.task.str(), wire::cause_name(e.cause));
+            spdlog::info("{} refused a start of {}: {}", m.name, a.task.str(),
+                         wire::exit_cause_name(e.cause));
             job->retry_at = now + secs(1);
             break;
         default:
-            spdlog::debug("{} ended on {}: {}{}", a.task.str(), m.name, wire::cause_name(e.cause),
-                          e.saved ? ", saved" : "");
+            spdlog::debug("{} ended on {}: {}{}", a.task.str(), m.name, wire::exit_cause_name(e.cause),
+                          e.checkpointed ? ", saved" : "");
             break;
     }
     unplace(*job, a.task.index, m.name, a.number);
-    if (job->spec.sort == Sort::gang && e.cause != Cause::done && !job->finished() && !e.stop)
+    if (job->spec.kind == JobKind::gang && e.cause != Cause::done && !job->finished() && !e.stop_requested)
         stop_gang(*job, 0, now, "a gang task ended");
 }
 
 // Tasks that a worker reports but that nobody has any use for are stopped.
 void Cluster::reconcile_reported(Machine& m, TimePoint now) {
-    for (auto& [a, e] : m.entries) {
-        if (e.phase != Phase::seen) continue;
+    for (auto& [a, e] : m.assignments) {
+        if (e.phase != AssignmentPhase::confirmed) continue;
         if (e.exited()) {
             touch(m.name);
             continue;
         }
-        if (e.stop) continue;
+        if (e.stop_requested) continue;
         Job* job = find_job(a.task.job);
         if (!job) {
             note_stop(m, a, e, 0, now, "of no known job");
         } else if (job->cancelled) {
             note_stop(m, a, e, 0, now, "of a cancelled job");
         } else if (job->done.contains(a.task.index)) {
-            if (job->spec.sort != Sort::gang) note_stop(m, a, e, 0, now, "done elsewhere");
+            if (job->spec.kind != JobKind::gang) note_stop(m, a, e, 0, now, "done elsewhere");
         } else if (auto it = job->places.find(a.task.index);
                    it != job->places.end() && it->second.size() > 1) {
             // Only records of a predecessor can name two places; the others resolve by themselves.
@@ -260,11 +262,12 @@
                 if (name == m.name && number == a.number) continue;
                 Machine* other = find_machine(name);
                 if (!other) continue;
-                auto o = other->entries.find({a.task, number});
-                // A late report of a machine that a predecessor returned may speak of the dead: only one that
-                // has shown this leader's token was heard of now.
-                if (o != other->entries.end() && o->second.phase == Phase::seen && !o->second.exited() &&
-                    other->fencing_token_seen >= first_fencing_token_ && number < a.number) {
+                auto o = other->assignments.find({a.task, number});
+                // A late heartbeat of a machine that a predecessor returned may speak of the dead: only one
+                // that has shown this leader's token was heard of now.
+                if (o != other->assignments.end() && o->second.phase == AssignmentPhase::confirmed &&
+                    !o->second.exited() && other->fencing_token_seen >= first_fencing_token_ &&
+                    number < a.number) {
                     spdlog::error("{} is on {} and on {}", a.task.str(), name, m.name);
                     note_stop(m, a, e, 0, now, "also elsewhere");
                 }
@@ -273,12 +276,12 @@
     }
 }
 
-void Cluster::note_stop(Machine& m, const Attempt& a, Entry& e, double grace, TimePoint now,
+void Cluster::note_stop(Machine& m, const Attempt& a, Assignment& e, double grace, TimePoint now,
                         const char* why) {
     if (e.exited()) return;
-    if (e.stop && e.grace_s <= grace) return;
+    if (e.stop_requested && e.grace_s <= grace) return;
     spdlog::debug("stop {} on {}: {}", a.task.str(), m.name, why);
-    e.stop = true;
+    e.stop_requested = true;
     e.grace_s = grace;
     e.stop_at = now;
     touch(m.name);
@@ -286,7 +289,7 @@
 }
 
 bool Cluster::runs_service(const Machine& m) const {
-    return std::any_of(m.entries.begin(), m.entries.end(),
+    return std::any_of(m.assignments.begin(), m.assignments.end(),
                        [](auto& kv) { return kv.second.service && !kv.second.exited(); });
 }
 
@@ -294,12 +297,12 @@
     for (auto& [index, list] : job.places)
         for (auto& [name, number] : list)
             if (Machine* m = find_machine(name)) {
-                auto it = m->entries.find({{job.spec.id, index}, number});
-                if (it != m->entries.end()) note_stop(*m, it->first, it->second, grace, now, why);
+                auto it = m->assignments.find({{job.spec.id, index}, number});
+                if (it != m->assignments.end()) note_stop(*m, it->first, it->second, grace, now, why);
             }
 }
 
-bool Cluster::may_reap(const Attempt& a, const Entry& e) const {
+bool Cluster::may_reap(const Attempt& a, const Assignment& e) const {
     if (unrecorded_error(a, e)) return false;
     if (e.cause != Cause::done) return true;
     auto it = jobs_.find(a.task.job);
@@ -310,12 +313,13 @@
 // Entries whose start was never sent can simply be dropped when they are to be stopped.
 void Cluster::drop_unsent(Machine& m) {
     std::vector<Attempt> dropped;
-    for (auto& [a, e] : m.entries)
-        if (e.stop && !e.late && !e.in_flight && (e.phase == Phase::recording || e.phase == Phase::ready))
+    for (auto& [a, e] : m.assignments)
+        if (e.stop_requested && !e.launch_unanswered && !e.in_flight &&
+            (e.phase == AssignmentPhase::recording || e.phase == AssignmentPhase::ready))
             dropped.push_back(a);
     for (auto& a : dropped) {
-        release(m.entries.at(a));
-        m.entries.erase(a);
+        release(m.assignments.at(a));
+        m.assignments.erase(a);
         rooms_.changed(m);
         if (Job* job = find_job(a.task.job)) unplace(*job, a.task.index, m.name, a.number);
     }
@@ -324,11 +328,12 @@
 std::vector<wire::Command> Cluster::reply_commands(Machine& m, TimePoint now, bool all) {
     drop_unsent(m);
     // Launches go by push where the address answers; a response carries them where it does not.
-    auto out = m.commands(now, all && !m.push_ok, [&](auto& a, auto& e) { return all && may_reap(a, e); });
+    auto out =
+        m.commands(now, all && !m.push_reachable, [&](auto& a, auto& e) { return all && may_reap(a, e); });
     for (auto& c : out)
         if (c.verb == wire::Verb::launch) {
-            Entry& e = m.entries.at(c.attempt);
-            e.phase = Phase::replied;
+            Assignment& e = m.assignments.at(c.attempt);
+            e.phase = AssignmentPhase::replied;
             e.reply_seq = m.seq;
         }
     return out;
@@ -337,12 +342,12 @@
 std::vector<wire::Command> Cluster::push_commands(Machine& m, TimePoint now) {
     drop_unsent(m);
     auto out = m.commands(now, true, [this](auto& a, auto& e) { return may_reap(a, e); });
-    // A response is at most 64 KiB, and so is a report.
+    // A response is at most 64 KiB, and so is a heartbeat.
     if (out.size() > 300) out.resize(300);
     for (auto& c : out)
         if (c.verb == wire::Verb::launch) {
-            Entry& e = m.entries.at(c.attempt);
-            e.phase = Phase::pushed;
+            Assignment& e = m.assignments.at(c.attempt);
+            e.phase = AssignmentPhase::pushed;
             e.in_flight = true;
             e.sent_fencing_token = fencing_token_;
         }
@@ -353,25 +358,25 @@
                             bool executed, bool may_execute, TimePoint) {
     for (auto& c : sent) {
         if (c.verb != wire::Verb::launch) continue;
-        auto it = m.entries.find(c.attempt);
-        if (it == m.entries.end()) continue;
-        Entry& e = it->second;
+        auto it = m.assignments.find(c.attempt);
+        if (it == m.assignments.end()) continue;
+        Assignment& e = it->second;
         e.in_flight = false;
-        if (executed) continue;  // the report that came with the answer has settled it, or will
+        if (executed) continue;  // the heartbeat that came with the answer has settled it, or will
         if (may_execute) {
-            e.late = true;
+            e.launch_unanswered = true;
             e.sent_fencing_token = std::max(e.sent_fencing_token, fencing_token);
-        } else if (e.phase == Phase::pushed && !e.late) {
-            e.phase = Phase::ready;
+        } else if (e.phase == AssignmentPhase::pushed && !e.launch_unanswered) {
+            e.phase = AssignmentPhase::ready;
         }
     }
 }
 
 bool Cluster::unsettled(TimePoint now) const {
     for (auto& [name, m] : machines_)
-        for (auto& [a, e] : m->entries)
-            if (e.late && e.sent_fencing_token >= fencing_token_ &&
-                m->fencing_token_seen <= e.sent_fencing_token && now - e.since > secs(3))
+        for (auto& [a, e] : m->assignments)
+            if (e.launch_unanswered && e.sent_fencing_token >= fencing_token_ &&
+                m->fencing_token_seen <= e.sent_fencing_token && now - e.placed_at > secs(3))
                 return true;
     return false;
 }
--- a/src/placement/borrowed.cpp
+++ b/src/placement/borrowed.cpp
@@ -77,7 +77,7 @@
 
 void Cluster::free_rooms(TimePoint now, const std::function<void(const wire::Resources&)>& each) const {
     for (auto& [name, m] : machines_)
-        if (usable(*m, now)) each(m->room());
+        if (usable(*m, now)) each(m->available());
 }
 
 }  // namespace barrowrun::placement
--- a/src/placement/cluster.cpp
+++ b/src/placement/cluster.cpp
@@ -7,19 +7,19 @@
 
 namespace barrowrun::placement {
 using wire::Cause;
-using wire::Sort;
+using wire::JobKind;
 
 namespace {
 // Tasks of a gang fail together: their failures count under the first.
 std::uint32_t error_key(const Job& job, std::uint32_t index) {
-    return job.spec.sort == Sort::gang ? 0 : index;
+    return job.spec.kind == JobKind::gang ? 0 : index;
 }
 }  // namespace
 
-wire::Standing Job::standing() const {
-    if (cancel_durable) return failed ? wire::Standing::failed : wire::Standing::cancelled;
-    if (finished() && durable_done.size() == spec.tasks) return wire::Standing::done;
-    return places.empty() && away.empty() ? wire::Standing::queued : wire::Standing::running;
+wire::JobState Job::job_state() const {
+    if (cancel_durable) return failed ? wire::JobState::failed : wire::JobState::cancelled;
+    if (finished() && durable_done.size() == spec.tasks) return wire::JobState::done;
+    return places.empty() && away.empty() ? wire::JobState::queued : wire::JobState::running;
 }
 
 std::vector<quota::Team> quota_teams(const std::map<std::string, TeamLimits>& teams) {
@@ -48,7 +48,7 @@
 Cluster::Cluster(Rules rules)
     : rules_(std::move(rules)),
       queue_(rules_.queue_bound),
-      sheets_(rules_.value_bytes),
+      shards_(rules_.value_bytes),
       ledger_(first_tree(rules_)) {}
 
 bool fits_type(const wire::JobSpec& spec, const wire::MachineType& t) {
@@ -126,7 +126,7 @@
     // then all of them are looked at.
     if (strangers_.erase(job.spec.id) > 0)
         for (auto& [name, m] : machines_)
-            for (auto& [a, e] : m->entries)
+            for (auto& [a, e] : m->assignments)
                 if (a.task.job == job.spec.id && a.task.index < job.spec.tasks && !e.exited()) {
                     occupy(job, a, e, *m);
                 }
@@ -202,8 +202,8 @@
         for (auto& [name, number] : list)
             if (Machine* m = find_machine(name)) {
                 Attempt a{{job.spec.id, index}, number};
-                auto it = m->entries.find(a);
-                if (it != m->entries.end()) note_stop(*m, a, it->second, 0, now, "cancelled");
+                auto it = m->assignments.find(a);
+                if (it != m->assignments.end()) note_stop(*m, a, it->second, 0, now, "cancelled");
             }
     mark_dirty(job);
 }
@@ -270,13 +270,13 @@
         auto key = *it;
         it = job.unrecorded_errors.erase(it);
         if (job.cancelled) continue;
-        const bool gang = job.spec.sort == Sort::gang;
+        const bool gang = job.spec.kind == JobKind::gang;
         for (std::uint32_t i = gang ? 0 : key; i < (gang ? job.spec.tasks : key + 1); ++i)
             if (!job.places.contains(i) && !job.done.contains(i)) set_waiting(job, i, true);
     }
 }
 
-bool Cluster::unrecorded_error(const Attempt& a, const Entry& e) const {
+bool Cluster::unrecorded_error(const Attempt& a, const Assignment& e) const {
     if (e.cause != Cause::error) return false;
     auto it = jobs_.find(a.task.job);
     if (it == jobs_.end() || it->second->cancelled) return false;
--- a/src/placement/cluster.hpp
+++ b/src/placement/cluster.hpp
@@ -10,8 +10,8 @@
 #include <unordered_set>
 #include <vector>
 
+#include "fleet/assignment_shards.hpp"
 #include "fleet/machine.hpp"
-#include "fleet/sheets.hpp"
 #include "placement/rooms.hpp"
 #include "placement/served.hpp"
 #include "queue/job_queue.hpp"
@@ -20,9 +20,9 @@
 
 namespace barrowrun::placement {
 
-using fleet::Entry;
+using fleet::Assignment;
+using fleet::AssignmentPhase;
 using fleet::Machine;
-using fleet::Phase;
 using state::IndexSet;
 using wire::Attempt;
 using wire::TaskId;
@@ -41,7 +41,7 @@
 };
 
 struct Rules {
-    double report_s = 3, lease_s = 20, gang_wait_s = 30, gang_peer_s = 4, cancel_s = 30;
+    double heartbeat_s = 3, lease_s = 20, gang_wait_s = 30, gang_peer_s = 4, cancel_s = 30;
     std::map<std::string, TeamLimits> teams;
     std::vector<Objective> objectives;
     std::uint64_t queue_bound = queue::default_bound;
@@ -94,7 +94,7 @@
     int runs = 0;
 
     bool finished() const { return done.size() == spec.tasks; }
-    wire::Standing standing() const;
+    wire::JobState job_state() const;
     std::uint64_t running() const { return places.size(); }
     // Best guess of a task's run time: the owner's estimate until tasks have finished.
     double run_guess() const { return runs >= 2 ? run_sum / runs : std::max(1.0, spec.estimate_s); }
@@ -183,13 +183,13 @@
     // Machines.
     Machine& add_machine(const std::string& name, const std::string& type, const std::string& zone, bool spot,
                          TimePoint now);
-    void inherit(std::uint32_t sheet, const state::MachineRecord& record, TimePoint now,
-                 std::int64_t wall_ms);
+    void recover_machine(std::uint32_t shard, const state::MachineRecord& record, TimePoint now,
+                         std::int64_t wall_ms);
     // A record of starts cannot be read, so any task may be anywhere: nothing is started before what no
     // worker has reported by then is certainly over.
-    void distrust_records(std::optional<std::uint32_t> sheet, TimePoint until) {
+    void distrust_records(std::optional<std::uint32_t> shard, TimePoint until) {
         distrust_until_ = std::max(distrust_until_, until);
-        if (sheet) sheets_.set_aside(*sheet);
+        if (shard) shards_.quarantine(*shard);
     }
     Machine* find_machine(const std::string& name);
     std::map<std::string, std::unique_ptr<Machine>>& machines() { return machines_; }
@@ -199,9 +199,9 @@
     bool is_gone(const std::string& name) const { return gone_.contains(name); }
     void lease_over(Machine& m, TimePoint now);
 
-    // Events. A report that is not newer than what is known changes nothing and gives false.
-    bool on_report(const wire::Report& report, bool hello, TimePoint now);
-    // Commands for the response to a report or for a push; launches are marked as sent with it.
+    // Events. A heartbeat that is not newer than what is known changes nothing and gives false.
+    bool on_heartbeat(const wire::WorkerHeartbeat& heartbeat, bool from_heartbeat_route, TimePoint now);
+    // Commands for the response to a heartbeat or for a push; launches are marked as sent with it.
     // Not `all`: kills alone. An answer renews the lease of whatever is on the machine, so none goes without
     // them.
     std::vector<wire::Command> reply_commands(Machine& m, TimePoint now, bool all = true);
@@ -224,15 +224,15 @@
     std::vector<Write> take_writes(std::size_t max_ops, std::size_t max_bytes, TimePoint now,
                                    std::int64_t wall_ms, bool progress = true);
     // `wall_ms`: the time of day, by which a successor dates what it inherits.
-    std::size_t changes() const { return dirty_jobs_.size() + sheets_.changed(); }
-    bool has_writes() const { return sheets_.any(true) || !dirty_jobs_.empty() || !queued_.empty(); }
+    std::size_t changes() const { return dirty_jobs_.size() + shards_.changed_count(); }
+    bool has_writes() const { return shards_.any_due(true) || !dirty_jobs_.empty() || !queued_.empty(); }
     bool has_urgent_writes() const;
     // To be written again. `may_be_executed`: there was no answer, so others may read it already.
     void write_failed(std::vector<Write> writes, bool may_be_executed = false);
     void enqueue(Write w) { queued_.push_back(std::move(w)); }
     // What of a machine is to be recorded with the next occasion; its starts are recorded at once.
-    void mark_machine_dirty(const std::string& name) { sheets_.change(name); }
-    void note_stop(Machine& m, const Attempt& a, Entry& e, double grace, TimePoint now, const char* why);
+    void mark_machine_dirty(const std::string& name) { shards_.mark_changed(name); }
+    void note_stop(Machine& m, const Attempt& a, Assignment& e, double grace, TimePoint now, const char* why);
 
     bool usable(const Machine& m, TimePoint now) const;
     bool allowed(const wire::JobSpec& spec, const Machine& m) const {
@@ -260,22 +260,22 @@
     void touch(const std::string& machine) { touched_.insert(machine); }
 
   private:
-    void apply(Machine& m, const std::vector<fleet::Change>& changes, TimePoint now);
-    void ended(Machine& m, const Attempt& a, const Entry& e, TimePoint now);
+    void apply(Machine& m, const std::vector<fleet::AssignmentChange>& changes, TimePoint now);
+    void ended(Machine& m, const Attempt& a, const Assignment& e, TimePoint now);
     void unplace(Job& job, std::uint32_t index, const std::string& machine, std::uint64_t attempt);
     void set_waiting(Job& job, std::uint32_t index, bool waiting);
     void finish_task(Job& job, std::uint32_t index);
     void count_error(Job& job, const Machine& m, const Attempt& a, TimePoint now);
     void errors_recorded(Job& job, const std::map<std::uint32_t, state::TaskErrors>& written);
     // A counted failure that no record names yet.
-    bool unrecorded_error(const Attempt& a, const Entry& e) const;
+    bool unrecorded_error(const Attempt& a, const Assignment& e) const;
     void mark_dirty(Job& job);
     static bool waited_for(const Job& job);  // a user waits for its next record: it is over, or cancelled
     // The sorts of machines that the job may use.
     const std::vector<const Rooms::Alike*>& may_use(Job& job);
     void reserve(Machine& m, const wire::Resources& need);
-    void occupy(Job& job, const Attempt& a, Entry& e, Machine& m);
-    void release(Entry& e);
+    void occupy(Job& job, const Attempt& a, Assignment& e, Machine& m);
+    void release(Assignment& e);
     quota::NodeId account_of(const wire::JobSpec& spec) const;
     // Starts waiting tasks of the job on free room, at most so many. What became of it:
     struct Served {
@@ -297,7 +297,7 @@
     };
     // What runs and could be stopped. `hosts`: whose places are numbered; others aren't looked at.
     Held held(const std::vector<Machine*>& hosts, TimePoint now) const;
-    double loss(const Job& job, const Entry& e, TimePoint now) const;
+    double loss(const Job& job, const Assignment& e, TimePoint now) const;
     // Free once what is being stopped there is out.
     static wire::Resources coming(const Rooms::Filed& filed);
     state::MachineRecord record_of(const Machine& m, TimePoint now, std::int64_t wall_ms) const;
@@ -316,7 +316,7 @@
     // Whether a job has shown that its tasks can run: then a failure is the machine's.
     bool runs_well(const Job& job, TimePoint now) const;
     bool trusted(const Machine& m, const Job& job, TimePoint now) const;
-    bool may_reap(const Attempt& a, const Entry& e) const;
+    bool may_reap(const Attempt& a, const Assignment& e) const;
     double grace_for(const Job& job) const { return job.spec.checkpoint_s > 0 ? job.spec.save_s + 1.0 : 0.0; }
     std::uint64_t next_attempt() { return (first_fencing_token_ << 20) + ++attempts_; }
 
@@ -329,7 +329,7 @@
     std::unordered_map<std::string, state::PastRecord> past_;
     std::map<std::string, std::unique_ptr<Machine>> machines_;
     queue::JobQueue queue_;
-    fleet::Sheets sheets_;
+    fleet::AssignmentShards shards_;
     std::set<std::string> dirty_jobs_, touched_, borrowed_changes_;
     std::deque<Write> queued_;
     quota::Ledger ledger_;
--- a/src/placement/eligibility.cpp
+++ b/src/placement/eligibility.cpp
@@ -6,8 +6,9 @@
 namespace barrowrun::placement {
 
 bool Cluster::usable(const Machine& m, TimePoint now) const {
-    return m.up && !m.returning && !m.drain && !m.faulty && !m.suspect && !m.taken_at &&
-           m.capacity.mem_gb > 0 && now - m.last_report < secs(rules_.report_s * 1.25 + 1.5);
+    return m.up && !m.returning && !m.draining && !m.quarantined_since && !m.suspected &&
+           !m.spot_reclaim_at && m.capacity.mem_gb > 0 &&
+           now - m.last_heartbeat < secs(rules_.heartbeat_s * 1.25 + 1.5);
 }
 
 bool Cluster::gpu_reserved(const wire::JobSpec& spec, const wire::MachineType& t) const {
--- a/src/placement/faults.cpp
+++ b/src/placement/faults.cpp
@@ -21,18 +21,18 @@
 bool trusted(const fleet::Machine& m, bool replica, bool failed_here, TimePoint now) {
     if (m.errors == 0 || now - m.last_error > faulty_for) return true;
     if (replica || (m.blamed > 0 && failed_here)) return false;
-    return std::none_of(m.entries.begin(), m.entries.end(),
-                        [&](auto& kv) { return !kv.second.exited() && kv.second.since >= m.last_error; });
+    return std::none_of(m.assignments.begin(), m.assignments.end(),
+                        [&](auto& kv) { return !kv.second.exited() && kv.second.placed_at >= m.last_error; });
 }
 
 void judge(fleet::Machine& m, TimePoint now, const std::function<bool()>& speaks_against) {
-    if (m.faulty && now - *m.faulty > faulty_for && m.live() > 0) {
+    if (m.quarantined_since && now - *m.quarantined_since > faulty_for && m.live() > 0) {
         // What held it may be over, and what runs on it keeps it rented: one trial.
-        m.faulty.reset();
+        m.quarantined_since.reset();
         m.errors = 1;
         m.blamed = 0;
     }
-    if (m.faulty || m.drain || m.errors < 2) return;
+    if (m.quarantined_since || m.draining || m.errors < 2) return;
     bool faulty = m.blamed >= 2;
     if (!faulty && m.errors >= 3) {
         // Jobs that failed on few machines speak against it; one that fails wherever it goes does not. Each
@@ -43,7 +43,7 @@
     if (!faulty) return;
     spdlog::warn("machine {} fails its tasks ({} in a row): it gets no more, and is returned when empty",
                  m.name, m.errors);
-    m.faulty = now;
+    m.quarantined_since = now;
 }
 
 }  // namespace barrowrun::placement::faults
--- a/src/placement/guarantees.cpp
+++ b/src/placement/guarantees.cpp
@@ -7,8 +7,8 @@
 #include "placement/cluster.hpp"
 
 namespace barrowrun::placement {
-using fleet::Phase;
-using wire::Sort;
+using fleet::AssignmentPhase;
+using wire::JobKind;
 
 namespace {
 // Bounds what a round spends on plans, and what it stops at once: the next round goes on.
@@ -29,7 +29,7 @@
     ledger_ = quota::Ledger(std::move(tree));
     for (auto& [id, job] : jobs_) job->account = account_of(job->spec);
     for (auto& [name, m] : machines_)
-        for (auto& [a, e] : m->entries) {
+        for (auto& [a, e] : m->assignments) {
             if (e.account == quota::no_node) continue;
             if (Job* job = find_job(a.task.job)) {
                 e.account = job->account;
@@ -45,12 +45,12 @@
         }
 }
 
-double Cluster::loss(const Job& job, const Entry& e, TimePoint now) const {
-    double ran = e.running == TimePoint{} ? 0 : Seconds(now - e.running).count();
-    double lost = e.saves ? std::min(ran, 2.0) + job.spec.save_s : ran;
+double Cluster::loss(const Job& job, const Assignment& e, TimePoint now) const {
+    double ran = e.started_at == TimePoint{} ? 0 : Seconds(now - e.started_at).count();
+    double lost = e.checkpoints ? std::min(ran, 2.0) + job.spec.save_s : ran;
     // A start counts for its users only if the task is left alone for a while.
     if (ran < 30) lost += 10;
-    return (lost + 2) * std::max(0.1, e.need.cpus) + (job.spec.sort == Sort::service ? replica_loss : 0);
+    return (lost + 2) * std::max(0.1, e.need.cpus) + (job.spec.kind == JobKind::service ? replica_loss : 0);
 }
 
 wire::Resources Cluster::coming(const Rooms::Filed& filed) {
@@ -65,13 +65,13 @@
     for (std::uint32_t h = 0; h < hosts.size(); ++h) number[hosts[h]->name] = h;
     std::unordered_set<std::string> gangs;
     for (std::uint32_t h = 0; h < hosts.size(); ++h)
-        for (auto& [a, e] : hosts[h]->entries) {
-            if (e.exited() || e.stop || e.account == quota::no_node) continue;
+        for (auto& [a, e] : hosts[h]->assignments) {
+            if (e.exited() || e.stop_requested || e.account == quota::no_node) continue;
             auto it = jobs_.find(a.task.job);
             if (it == jobs_.end()) continue;
             const Job& job = *it->second;
-            quota::Unit u{{{h, e.need}}, e.account, loss(job, e, now), e.saves};
-            if (job.spec.sort == Sort::gang && job.spec.tasks > 1) {
+            quota::Unit u{{{h, e.need}}, e.account, loss(job, e, now), e.checkpoints};
+            if (job.spec.kind == JobKind::gang && job.spec.tasks > 1) {
                 // Whole or not at all. Its parts on other machines stand at a place after the last.
                 if (!gangs.insert(job.spec.id).second) continue;
                 u.parts.clear();
@@ -80,8 +80,8 @@
                     for (auto& [name, attempt] : list) {
                         auto m = machines_.find(name);
                         if (m == machines_.end()) continue;
-                        auto part = m->second->entries.find({{job.spec.id, index}, attempt});
-                        if (part == m->second->entries.end() || part->second.exited()) continue;
+                        auto part = m->second->assignments.find({{job.spec.id, index}, attempt});
+                        if (part == m->second->assignments.end() || part->second.exited()) continue;
                         auto at = number.find(name);
                         u.parts.push_back(
                             {at == number.end() ? static_cast<std::uint32_t>(hosts.size()) : at->second,
@@ -118,7 +118,7 @@
             auto n = covered();
             if (n == 0) continue;
             const bool anywhere = !s.spread && !s.one_zone;
-            if (s.sort == Sort::gang) {
+            if (s.kind == JobKind::gang) {
                 if (n < s.tasks || job->waiting.size() != s.tasks || !job->places.empty()) continue;
                 if (place_gang(*job, now)) {
                     placed += s.tasks;
@@ -137,7 +137,7 @@
             if (n == 0 || plans >= most_plans_a_round || in_vain.contains({job->account, job->shape}))
                 continue;
             ++plans;
-            if (reclaim(*job, std::min(n, s.sort == Sort::gang ? s.tasks : most_tasks_a_plan), now))
+            if (reclaim(*job, std::min(n, s.kind == JobKind::gang ? s.tasks : most_tasks_a_plan), now))
                 acted = true;
             else
                 in_vain.emplace(job->account, job->shape);
@@ -149,7 +149,7 @@
 // nothing takes it meanwhile; the rest is taken from those that borrow.
 bool Cluster::reclaim(Job& job, std::uint32_t tasks, TimePoint now) {
     const auto& s = job.spec;
-    const bool whole = s.sort == Sort::gang;
+    const bool whole = s.kind == JobKind::gang;
     const Zones taken(*this, s, &job);
     rooms_.refresh();
     std::vector<std::string> zones{""};
@@ -165,8 +165,9 @@
         // What is being stopped is as good as gone.
         quota::Ledger ledger = ledger_;
         for (auto& [name, m] : machines_) {
-            for (auto& [a, e] : m->entries)
-                if (e.stop && !e.exited() && e.account != quota::no_node) ledger.release(e.account, e.need);
+            for (auto& [a, e] : m->assignments)
+                if (e.stop_requested && !e.exited() && e.account != quota::no_node)
+                    ledger.release(e.account, e.need);
             if ((!zone.empty() && m->zone != zone) || !usable(*m, now) || !allowed(s, *m) ||
                 !trusted(*m, job, now) || !taken.ok(m->zone))
                 continue;
@@ -192,7 +193,7 @@
             if (there.units[u].parts.size() > 1)
                 stop_gang(*other, grace_for(*other), now, "borrowed room is claimed");
             else
-                note_stop(*m, a, m->entries.at(a), grace_for(*other), now, "borrowed room is claimed");
+                note_stop(*m, a, m->assignments.at(a), grace_for(*other), now, "borrowed room is claimed");
         }
         if (!plan.stop.empty())
             spdlog::info(
@@ -219,14 +220,15 @@
         }
         wire::Resources stopping;
         for (auto& [name, m] : machines_)
-            for (auto& [a, e] : m->entries)
-                if (e.stop && !e.exited() && e.account != quota::no_node && tree.within(e.account, n))
+            for (auto& [a, e] : m->assignments)
+                if (e.stop_requested && !e.exited() && e.account != quota::no_node &&
+                    tree.within(e.account, n))
                     stopping += e.need;
         std::vector<quota::Unit> units;
         std::vector<std::size_t> which;
         for (std::size_t u = 0; u < there->units.size(); ++u) {
             auto& [m, a] = there->tasks[u];
-            if (m->entries.at(a).stop) continue;  // for a deeper node, just now
+            if (m->assignments.at(a).stop_requested) continue;  // for a deeper node, just now
             units.push_back(there->units[u]);
             which.push_back(u);
         }
@@ -238,7 +240,7 @@
             if (units[u].parts.size() > 1)
                 stop_gang(*job, grace_for(*job), now, "above a lowered limit");
             else
-                note_stop(*m, a, m->entries.at(a), grace_for(*job), now, "above a lowered limit");
+                note_stop(*m, a, m->assignments.at(a), grace_for(*job), now, "above a lowered limit");
         }
     }
 }
@@ -253,7 +255,7 @@
         return fmt::format("its last try failed: the next is in {:.1f} s",
                            Seconds(job.retry_at - now).count());
     const auto& tree = ledger_.tree();
-    const bool gang = s.sort == Sort::gang;
+    const bool gang = s.kind == JobKind::gang;
     wire::Resources all = s.need;
     if (gang) all = {s.need.cpus * s.tasks, s.need.gpus * s.tasks, s.need.mem_gb * s.tasks};
     if (auto n = ledger_.refusing(job.account, all)) {
@@ -277,7 +279,7 @@
     for (auto& [name, m] : machines_) {
         if (!usable(*m, now) || !allowed(s, *m) || !taken.ok(m->zone)) continue;
         ++may;
-        auto room = m->room();
+        auto room = m->available();
         fit += s.need.fits(room);
         if (!roomiest || room.cpus > most.cpus) roomiest = m.get(), most = room;
     }
--- a/src/placement/occupancy.cpp
+++ b/src/placement/occupancy.cpp
@@ -4,7 +4,7 @@
 #include "placement/cluster.hpp"
 
 namespace barrowrun::placement {
-using wire::Sort;
+using wire::JobKind;
 
 Cluster::Zones::Zones(const Cluster& cluster, const wire::JobSpec& spec, const Job* job) : spec_(spec) {
     if (!job || (!spec_.spread && !spec_.one_zone)) return;
@@ -22,13 +22,13 @@
 }
 
 // An attempt that may be on a machine: its task does not wait any more, and the entry knows what it is.
-void Cluster::occupy(Job& job, const Attempt& a, Entry& e, Machine& m) {
+void Cluster::occupy(Job& job, const Attempt& a, Assignment& e, Machine& m) {
     rooms_.changed(m);
     e.need = job.spec.need;
-    e.service = job.spec.sort == Sort::service;
-    e.level = job.spec.priority;
-    e.may_yield = job.spec.sort != Sort::service;
-    e.saves = job.spec.checkpoint_s > 0;
+    e.service = job.spec.kind == JobKind::service;
+    e.priority = job.spec.priority;
+    e.preemptible = job.spec.kind != JobKind::service;
+    e.checkpoints = job.spec.checkpoint_s > 0;
     auto& list = job.places[a.task.index];
     std::pair here{m.name, a.number};
     if (std::find(list.begin(), list.end(), here) == list.end()) list.push_back(std::move(here));
@@ -36,7 +36,7 @@
     set_waiting(job, a.task.index, false);
 }
 
-void Cluster::release(Entry& e) {
+void Cluster::release(Assignment& e) {
     if (e.account == quota::no_node) return;
     ledger_.release(e.account, e.need);
     e.account = quota::no_node;
--- a/src/placement/rooms.cpp
+++ b/src/placement/rooms.cpp
@@ -14,16 +14,16 @@
 Tally tally(const Machine& m) {
     Tally out;
     out.free = m.capacity;
-    for (auto& [a, e] : m.entries) {
+    for (auto& [a, e] : m.assignments) {
         if (e.exited()) continue;
         out.free -= e.need;
-        if (e.stop) {
+        if (e.stop_requested) {
             out.stopping += e.need;
             out.stops = true;
             out.lower.fill(true);
         }
         for (std::size_t level = 0; level < out.yields.size(); ++level)
-            if (e.yields_to(static_cast<wire::Priority>(level))) {
+            if (e.preemptible_by(static_cast<wire::Priority>(level))) {
                 out.yields[level] += e.need;
                 out.lower[level] = true;
             }
@@ -71,7 +71,7 @@
         }
         Filed& filed = *it->second;
         take_out(filed);
-        // A machine that is known by its name alone says its type with its first report.
+        // A machine that is known by its name alone says its type with its first heartbeat.
         auto& sort = alike_[{m->type, m->zone, m->spot}];
         if (!sort) {
             sort = std::make_unique<Alike>();
--- a/src/placement/rounds.cpp
+++ b/src/placement/rounds.cpp
@@ -9,8 +9,8 @@
 #include "placement/preemption.hpp"
 
 namespace barrowrun::placement {
+using wire::JobKind;
 using wire::Priority;
-using wire::Sort;
 using wire::TaskState;
 
 // A machine that takes a task only becomes the better choice for the next one of the same job (a tighter fit,
@@ -22,12 +22,12 @@
     auto look = [&](const Rooms::Filed& filed) {
         Machine& m = *filed.machine;
         wire::Resources room = m.unreserved();
-        if (!s.need.fits(room) || !usable(m, now) || m.entries.size() >= most_tasks()) return;
+        if (!s.need.fits(room) || !usable(m, now) || m.assignments.size() >= most_tasks()) return;
         double score = 0;
         double fetch_s = m.has_image(s.image)  ? 0
                          : m.fetching(s.image) ? 0.5 * s.image_gb / m.fetch_gb_per_s
                                                : s.image_gb / m.fetch_gb_per_s;
-        score -= fetch_s * (s.sort == Sort::service ? 10.0 : 1.0);
+        score -= fetch_s * (s.kind == JobKind::service ? 10.0 : 1.0);
         if (s.spot_ok && m.spot) score += 8;
         if (job.failed_on.contains(m.name)) score -= 1000;
         score -= m.errors * 20.0;
@@ -49,14 +49,14 @@
 
 void Cluster::place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt, TimePoint now) {
     Attempt a{{job.spec.id, index}, attempt};
-    Entry e;
-    e.since = now;
+    Assignment e;
+    e.placed_at = now;
     occupy(job, a, e, m);
-    m.entries.emplace(a, e);
+    m.assignments.emplace(a, e);
     m.free -= e.need;
     m.idle_since = now;
     if (!m.has_image(job.spec.image)) m.note_fetch(job.spec.image, job.spec.image_gb);
-    sheets_.start(m.name, {job.spec.priority, job.accepted});
+    shards_.add_start(m.name, {job.spec.priority, job.accepted});
     spdlog::debug("place {} attempt {} on {}, image {}, {:.2f} s after it was accepted", a.task.str(),
                   attempt, m.name, m.has_image(job.spec.image) ? "there" : "to fetch",
                   Seconds(now - job.accepted).count());
@@ -97,8 +97,8 @@
 
 wire::Resources Cluster::preemptible(const Machine& m, Priority level, bool kept) const {
     wire::Resources r;
-    for (auto& [a, e] : m.entries)
-        if (e.yields_to(level) && (e.saves || !kept)) r += e.need;
+    for (auto& [a, e] : m.assignments)
+        if (e.preemptible_by(level) && (e.checkpoints || !kept)) r += e.need;
     return r;
 }
 
@@ -110,7 +110,7 @@
     for (auto* aim : job.aims) {
         auto& o = *aim;
         // Work is lumpy and estimates are off: some of the time is kept back.
-        if (o.kind == "wait") at_most((job.spec.sort == Sort::array ? 0.7 : 1.0) * o.within_s - elapsed);
+        if (o.kind == "wait") at_most((job.spec.kind == JobKind::array ? 0.7 : 1.0) * o.within_s - elapsed);
         if (o.kind == "finished") at_most(0.8 * o.within_s - elapsed - run);
         if (o.kind == "deadline" && job.spec.deadline_s) at_most(*job.spec.deadline_s - elapsed - run);
     }
@@ -119,7 +119,7 @@
 
 bool Cluster::may_preempt(const Job& job, TimePoint now) const {
     if (job.spec.priority <= Priority::high) return true;
-    return job.spec.sort == Sort::array && time_left(job, now) < usual_boot_s();
+    return job.spec.kind == JobKind::array && time_left(job, now) < usual_boot_s();
 }
 
 // Lower work makes room. Room that is already being made is waited for.
@@ -175,10 +175,10 @@
         if (!suits(m)) continue;
         preemption::Option option{
             coming(*filed), {}, m.has_image(job.spec.image) ? 0 : 10 * job.spec.image_gb / m.fetch_gb_per_s};
-        for (auto& [a, e] : m.entries) {
-            if (!e.yields_to(job.spec.priority) || (kept_only && !e.saves)) continue;
+        for (auto& [a, e] : m.assignments) {
+            if (!e.preemptible_by(job.spec.priority) || (kept_only && !e.checkpoints)) continue;
             Job* other = find_job(a.task.job);
-            if (!other || (other->spec.sort == Sort::gang && other->spec.tasks > 1)) continue;
+            if (!other || (other->spec.kind == JobKind::gang && other->spec.tasks > 1)) continue;
             // What another's guarantee covers goes on, unless this is within one as well: it would only be
             // given its room back.
             if (guarantees && e.account != quota::no_node &&
@@ -186,7 +186,7 @@
                 ledger_.covered(job.account, need, 1, ledger_.tree().common(e.account, job.account)) == 0)
                 continue;
             option.victims.push_back(
-                {victims.size(), e.need, loss(*other, e, now) - 10.0 * static_cast<double>(e.level)});
+                {victims.size(), e.need, loss(*other, e, now) - 10.0 * static_cast<double>(e.priority)});
             victims.push_back(a);
         }
         if (option.victims.empty()) continue;
@@ -203,8 +203,8 @@
             Job* other = find_job(a.task.job);
             // Saving comes first unless users would wait for it: a replica is late, or would be.
             bool hurry =
-                job.spec.sort == Sort::service && other && start_slack(job, now) < other->spec.save_s + 1;
-            note_stop(m, a, m.entries.at(a), other && !hurry ? grace_for(*other) : 0, now, "preempted");
+                job.spec.kind == JobKind::service && other && start_slack(job, now) < other->spec.save_s + 1;
+            note_stop(m, a, m.assignments.at(a), other && !hurry ? grace_for(*other) : 0, now, "preempted");
             ++stopped;
         }
         out.stopped = true;
@@ -238,7 +238,7 @@
     auto choose = [&]() -> Machine* {
         for (; at < ranked.size(); ++at) {
             if (s.need.fits(ranked[at]->unreserved()) && trusted(*ranked[at], job, now) &&
-                ranked[at]->entries.size() < most_tasks() && zones.ok(ranked[at]->zone))
+                ranked[at]->assignments.size() < most_tasks() && zones.ok(ranked[at]->zone))
                 return ranked[at];
         }
         return nullptr;
@@ -322,7 +322,7 @@
             const auto shape = job->shape_number;
             const bool anywhere = !s.spread && !s.one_zone;  // what fits does not depend on its other tasks
             if (misfits[shape] && (stuck[shape] || !may_preempt(*job, now))) continue;
-            if (s.sort == Sort::gang) {
+            if (s.kind == JobKind::gang) {
                 if (place_gang(*job, now)) {
                     placed += s.tasks;
                     acted = true;
@@ -353,16 +353,16 @@
         for (auto& [name, number] : list) {
             auto m = machines_.find(name);
             if (m == machines_.end()) continue;
-            auto e = m->second->entries.find({{job.spec.id, index}, number});
-            if (e != m->second->entries.end() && !e->second.exited() && e->second.running != TimePoint{} &&
-                now - e->second.running > faults::proven_after)
+            auto e = m->second->assignments.find({{job.spec.id, index}, number});
+            if (e != m->second->assignments.end() && !e->second.exited() &&
+                e->second.started_at != TimePoint{} && now - e->second.started_at > faults::proven_after)
                 return true;
         }
     return false;
 }
 
 bool Cluster::trusted(const Machine& m, const Job& job, TimePoint now) const {
-    return faults::trusted(m, job.spec.sort == Sort::service, job.failed_on.contains(m.name), now);
+    return faults::trusted(m, job.spec.kind == JobKind::service, job.failed_on.contains(m.name), now);
 }
 
 }  // namespace barrowrun::placement
--- a/src/placement/upkeep.cpp
+++ b/src/placement/upkeep.cpp
@@ -5,7 +5,7 @@
 #include "placement/faults.hpp"
 
 namespace barrowrun::placement {
-using wire::Sort;
+using wire::JobKind;
 using wire::TaskState;
 
 bool Cluster::tick(TimePoint now, const std::function<TimePoint(const std::string&)>& others) {
@@ -18,28 +18,29 @@
     };
     for (auto& [name, mp] : machines_) {
         Machine& m = *mp;
-        if (!m.entries.empty() && now >= m.lease_end(rules_.lease_s, answered(m.zone))) {
+        if (!m.assignments.empty() && now >= m.lease_expiry(rules_.lease_s, answered(m.zone))) {
             lease_over(m, now);
             moved = true;
         }
-        if (m.any_live()) m.idle_since = now;
+        if (m.has_live()) m.idle_since = now;
         faults::judge(m, now, [&] {
             return std::any_of(jobs_.begin(), jobs_.end(), [&](auto& kv) {
                 return kv.second->failed_on.contains(m.name) &&
                        (kv.second->failed_on.size() < 3 || runs_well(*kv.second, now));
             });
         });
-        if (m.taken_at || m.drain) {
-            for (auto& [a, e] : m.entries) {
-                if (e.exited() || e.stop) continue;
+        if (m.spot_reclaim_at || m.draining) {
+            for (auto& [a, e] : m.assignments) {
+                if (e.exited() || e.stop_requested) continue;
                 Job* job = find_job(a.task.job);
                 if (!job) continue;
-                if (job->spec.checkpoint_s > 0 && e.phase == Phase::seen && e.state == TaskState::running) {
-                    if (job->spec.sort == Sort::gang)
+                if (job->spec.checkpoint_s > 0 && e.phase == AssignmentPhase::confirmed &&
+                    e.state == TaskState::running) {
+                    if (job->spec.kind == JobKind::gang)
                         stop_gang(*job, grace_for(*job), now, "its machine goes away");
                     else
                         note_stop(m, a, e, grace_for(*job), now, "its machine goes away");
-                } else if (m.drain && job->spec.sort != Sort::gang) {
+                } else if (m.draining && job->spec.kind != JobKind::gang) {
                     note_stop(m, a, e, 0, now, "its machine is emptied");
                 }
             }
--- a/src/placement/writes.cpp
+++ b/src/placement/writes.cpp
@@ -51,7 +51,7 @@
 }
 
 bool Cluster::has_urgent_writes() const {
-    return sheets_.any(false) || !queued_.empty() ||
+    return shards_.any_due(false) || !queued_.empty() ||
            std::any_of(dirty_jobs_.begin(), dirty_jobs_.end(), [this](auto& id) {
                auto it = jobs_.find(id);
                return it != jobs_.end() && waited_for(*it->second);
@@ -66,9 +66,10 @@
 
 state::MachineRecord Cluster::record_of(const Machine& m, TimePoint now, std::int64_t wall_ms) const {
     state::MachineRecord r{m.name, m.address, m.type, m.zone, m.spot, 0, {}};
-    r.rented_ms = wall_ms - std::chrono::duration_cast<std::chrono::milliseconds>(now - m.rented).count();
-    for (auto& [a, e] : m.entries)
-        if (!e.exited() || e.late || unrecorded_error(a, e)) r.attempts.push_back(a);
+    r.provisioned_ms =
+        wall_ms - std::chrono::duration_cast<std::chrono::milliseconds>(now - m.provisioned_at).count();
+    for (auto& [a, e] : m.assignments)
+        if (!e.exited() || e.launch_unanswered || unrecorded_error(a, e)) r.attempts.push_back(a);
     return r;
 }
 
@@ -87,30 +88,30 @@
         queued_.pop_front();
     }
     while (!full()) {
-        auto due = sheets_.due(progress);
+        auto due = shards_.due(progress);
         if (due.empty()) break;
         auto number = due.front();
         Json value = Json::array();
         std::vector<std::pair<std::string, Attempt>> fresh;
-        for (auto& name : sheets_.machines(number)) {
+        for (auto& name : shards_.machines(number)) {
             Machine* m = find_machine(name);
             if (!m) continue;
             value.push_back(state::to_json(record_of(*m, now, wall_ms)));
-            for (auto& [a, e] : m->entries)
-                if (e.phase == Phase::recording) fresh.emplace_back(name, a);
+            for (auto& [a, e] : m->assignments)
+                if (e.phase == AssignmentPhase::recording) fresh.emplace_back(name, a);
         }
         std::size_t size = text_size(value);
-        if (!sheets_.fits(number, size)) continue;
+        if (!shards_.record_size(number, size)) continue;
         if (!out.empty() && bytes + size > max_bytes) break;
-        sheets_.taken(number);
-        add({state::sheet_key(number), std::move(value), [this, number, fresh = std::move(fresh)] {
-                 sheets_.durable(number);
+        shards_.on_write_sent(number);
+        add({state::assignment_shard_key(number), std::move(value), [this, number, fresh = std::move(fresh)] {
+                 shards_.on_write_durable(number);
                  for (auto& [name, a] : fresh) {
                      Machine* m = find_machine(name);
                      if (!m) continue;
-                     auto it = m->entries.find(a);
-                     if (it != m->entries.end() && it->second.phase == Phase::recording)
-                         it->second.phase = Phase::ready;
+                     auto it = m->assignments.find(a);
+                     if (it != m->assignments.end() && it->second.phase == AssignmentPhase::recording)
+                         it->second.phase = AssignmentPhase::ready;
                      touch(name);
                  }
              }});
@@ -130,14 +131,14 @@
         over &= job->away.empty();  // a part of it is still another cell's
         job->record_under_way |= (over || job->cancelled) && !job->cancel_durable;
         if (over) {
-            state::PastRecord past{job->failed      ? wire::Standing::failed
-                                   : job->cancelled ? wire::Standing::cancelled
-                                                    : wire::Standing::done,
+            state::PastRecord past{job->failed      ? wire::JobState::failed
+                                   : job->cancelled ? wire::JobState::cancelled
+                                                    : wire::JobState::done,
                                    job->done.size(), job->error_count};
             add({state::past_key(id), state::to_json(past), [this, id, past] {
                      Job* j = find_job(id);
                      if (!j) return;
-                     spdlog::debug("job {} is over: {}", id, wire::standing_name(past.standing));
+                     spdlog::debug("job {} is over: {}", id, wire::job_state_name(past.state));
                      past_[id] = past;
                      for (auto& [index, list] : j->places)
                          for (auto& [name, number] : list) touch(name);
@@ -175,8 +176,8 @@
             job->record_under_way = false;
             job->record_unknown |= may_be_executed;
         }
-        if (auto sheet = state::parse_sheet_key(w.key)) {
-            sheets_.failed(*sheet);
+        if (auto shard = state::parse_assignment_shard_key(w.key)) {
+            shards_.on_write_failed(*shard);
         } else if (w.key.starts_with("progress/") && w.value) {
             dirty_jobs_.insert(w.key.substr(9));
         } else if (w.key.starts_with("past/")) {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -88,7 +88,7 @@
                 {wire::text(o, "kind").value_or(""), wire::text(o, "class").value_or(""),
                  wire::amount(o, "within_s").value_or(0), wire::amount(o, "times").value_or(1)});
     const Json& w = object(d, "deployment.", "workers");
-    s.rules.report_s = positive(w, "deployment.workers.", "report_s");
+    s.rules.heartbeat_s = positive(w, "deployment.workers.", "report_s");
     s.rules.lease_s = positive(w, "deployment.workers.", "lease_s");
     s.rules.gang_wait_s = positive(w, "deployment.workers.", "gang_wait_s");
     s.rules.gang_peer_s = positive(w, "deployment.workers.", "gang_peer_s");
--- a/src/state/records.cpp
+++ b/src/state/records.cpp
@@ -124,11 +124,11 @@
 std::string past_key(const std::string& id) {
     return "past/" + id;
 }
-std::string sheet_key(std::uint32_t number) {
+std::string assignment_shard_key(std::uint32_t number) {
     auto digits = std::to_string(number);
     return "sheets/" + std::string(digits.size() < 6 ? 6 - digits.size() : 0, '0') + digits;
 }
-std::optional<std::uint32_t> parse_sheet_key(const std::string& key) {
+std::optional<std::uint32_t> parse_assignment_shard_key(const std::string& key) {
     constexpr std::string_view prefix = "sheets/";
     if (!key.starts_with(prefix)) return std::nullopt;
     std::uint32_t n = 0;
@@ -136,7 +136,7 @@
     if (error != std::errc{} || end != key.data() + key.size()) return std::nullopt;
     return n;
 }
-std::string hire_key(const std::string& request) {
+std::string provisioning_key(const std::string& request) {
     return "hires/" + request;
 }
 
@@ -195,13 +195,13 @@
 }
 
 Json to_json(const PastRecord& r) {
-    Json out{{"state", wire::standing_name(r.standing)}, {"finished", r.done}};
+    Json out{{"state", wire::job_state_name(r.state)}, {"finished", r.done}};
     if (r.errors) out["error_count"] = wire::error_count_json(*r.errors);
     return out;
 }
 
 std::optional<PastRecord> parse_past(const Json& value) {
-    auto standing = wire::standing_of(wire::text(value, "state").value_or(""));
+    auto standing = wire::parse_job_state(wire::text(value, "state").value_or(""));
     if (!standing) return std::nullopt;
     PastRecord r{*standing, static_cast<std::uint32_t>(wire::count(value, "finished").value_or(0)), {}};
     if (const Json* errors = wire::find(value, "error_count")) r.errors = wire::parse_error_count(*errors);
@@ -214,7 +214,7 @@
         attempts.push_back(a.task.str());
         attempts.push_back(a.number);
     }
-    return Json::array({r.name, r.address, r.type, r.zone, r.spot, r.rented_ms, std::move(attempts)});
+    return Json::array({r.name, r.address, r.type, r.zone, r.spot, r.provisioned_ms, std::move(attempts)});
 }
 
 std::optional<MachineRecord> parse_machine_record(const Json& value) {
@@ -241,7 +241,7 @@
     return r;
 }
 
-std::optional<std::vector<MachineRecord>> parse_sheet(const Json& value) {
+std::optional<std::vector<MachineRecord>> parse_assignment_shard(const Json& value) {
     if (!value.is_array()) return std::nullopt;
     std::vector<MachineRecord> out;
     for (const Json& v : value) {
@@ -252,15 +252,15 @@
     return out;
 }
 
-Json to_json(const HireRecord& r) {
+Json to_json(const ProvisioningRecord& r) {
     return Json{{"type", r.type}, {"zone", r.zone}, {"spot", r.spot}, {"count", r.count}};
 }
 
-std::optional<HireRecord> parse_hire(const Json& value) {
+std::optional<ProvisioningRecord> parse_provisioning_record(const Json& value) {
     auto type = wire::text(value, "type"), zone = wire::text(value, "zone");
     auto n = wire::count(value, "count");
     if (!type || !zone || !n || *n > 50) return std::nullopt;
-    return HireRecord{*type, *zone, wire::flag(value, "spot").value_or(false), static_cast<int>(*n)};
+    return ProvisioningRecord{*type, *zone, wire::flag(value, "spot").value_or(false), static_cast<int>(*n)};
 }
 
 Json to_json(const LeaderRecord& r) {
--- a/src/state/records.hpp
+++ b/src/state/records.hpp
@@ -55,9 +55,9 @@
 std::string job_key(const std::string& id);
 std::string progress_key(const std::string& id);
 std::string past_key(const std::string& id);
-std::string sheet_key(std::uint32_t number);
-std::optional<std::uint32_t> parse_sheet_key(const std::string& key);
-std::string hire_key(const std::string& request);
+std::string assignment_shard_key(std::uint32_t number);
+std::optional<std::uint32_t> parse_assignment_shard_key(const std::string& key);
+std::string provisioning_key(const std::string& request);
 inline constexpr const char* leader_key = "leader";
 inline constexpr const char* catalog_key = "catalog";
 
@@ -87,7 +87,7 @@
 std::optional<Progress> parse_progress(const Json& value, std::uint32_t tasks);
 
 struct PastRecord {
-    wire::Standing standing = wire::Standing::done;
+    wire::JobState state = wire::JobState::done;
     std::uint32_t done = 0;
     std::optional<wire::ErrorCount> errors{};
 };
@@ -97,21 +97,21 @@
 struct MachineRecord {
     std::string name, address, type, zone;
     bool spot = false;
-    std::int64_t rented_ms = 0;
+    std::int64_t provisioned_ms = 0;
     std::vector<wire::Attempt> attempts;  // may be on the machine
 };
 Json to_json(const MachineRecord& r);  // a list without field names: hundreds stand in a few values
 std::optional<MachineRecord> parse_machine_record(const Json& value);
 // A sheet is read whole or not at all.
-std::optional<std::vector<MachineRecord>> parse_sheet(const Json& value);
+std::optional<std::vector<MachineRecord>> parse_assignment_shard(const Json& value);
 
-struct HireRecord {
+struct ProvisioningRecord {
     std::string type, zone;
     bool spot = false;
     int count = 0;
 };
-Json to_json(const HireRecord& r);
-std::optional<HireRecord> parse_hire(const Json& value);
+Json to_json(const ProvisioningRecord& r);
+std::optional<ProvisioningRecord> parse_provisioning_record(const Json& value);
 
 struct LeaderRecord {
     std::string node, incarnation;
--- a/src/state/state_client.cpp
+++ b/src/state/state_client.cpp
@@ -115,8 +115,9 @@
     // One pass from the beginning: parts of different passes do not belong together. Machines whose jobs are
     // missing would make running tasks look like waiting ones.
     Snapshot out;
-    for (auto [part, prefix] : {std::pair{&out.jobs, "jobs/"}, std::pair{&out.progress, "progress/"},
-                                std::pair{&out.sheets, "sheets/"}, std::pair{&out.hires, "hires/"}}) {
+    for (auto [part, prefix] :
+         {std::pair{&out.jobs, "jobs/"}, std::pair{&out.progress, "progress/"},
+          std::pair{&out.shards, "sheets/"}, std::pair{&out.provisioning_requests, "hires/"}}) {
         *part = co_await list(prefix);
         if (!part->ok) co_return std::nullopt;
     }
--- a/src/state/state_client.hpp
+++ b/src/state/state_client.hpp
@@ -40,7 +40,7 @@
 
 // All that a new leader needs, read in one pass.
 struct Snapshot {
-    Listing jobs, progress, sheets, hires;
+    Listing jobs, progress, shards, provisioning_requests;
 };
 
 struct Precondition {
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -45,27 +45,27 @@
     return id;
 }
 
-const char* cause_name(Cause cause) {
+const char* exit_cause_name(Cause cause) {
     return word_of(cause_words, cause);
 }
-const char* state_name(TaskState state) {
+const char* task_state_name(TaskState state) {
     return word_of(state_words, state);
 }
 
-std::optional<Report> parse_report(const Json& body) {
+std::optional<WorkerHeartbeat> parse_worker_heartbeat(const Json& body) {
     auto machine = text(body, "barrow"), address = text(body, "endpoint"), type = text(body, "build"),
          zone = text(body, "yard");
-    auto session = count(body, "shift"), seq = count(body, "tally");
+    auto agent_epoch = count(body, "shift"), seq = count(body, "tally");
     const Json* tasks = find(body, "parcels");
-    if (!machine || machine->empty() || machine->size() > 100 || !session || !seq) return std::nullopt;
+    if (!machine || machine->empty() || machine->size() > 100 || !agent_epoch || !seq) return std::nullopt;
     if (tasks && !tasks->is_array()) return std::nullopt;
-    Report r;
+    WorkerHeartbeat r;
     r.machine = *machine;
     r.address = address.value_or("");
     r.type = type.value_or("");
     r.zone = zone.value_or("");
     r.spot = flag(body, "loaners").value_or(false);
-    r.session = *session;
+    r.agent_epoch = *agent_epoch;
     r.seq = *seq;
     r.fencing_token = count(body, "baton").value_or(0);
     r.notice_s = amount(body, "recall_s");
@@ -76,7 +76,7 @@
         if (!id || !number || !state) return std::nullopt;
         auto task = TaskId::parse(*id);
         auto st = value_of(state_words, *state);
-        // A report is used as proof of absence, so one that is not understood whole is not used at all.
+        // A heartbeat is used as proof of absence, so one that is not understood whole is not used at all.
         if (!task || !st) return std::nullopt;
         TaskStatus status{{*task, *number}, *st, Cause::none, flag(t, "stored").value_or(false)};
         if (auto why = text(t, "cause")) status.cause = value_of(cause_words, *why).value_or(Cause::error);
@@ -85,18 +85,19 @@
     return r;
 }
 
-Json report_json(const Report& r) {
+Json worker_heartbeat_json(const WorkerHeartbeat& r) {
     Json tasks = Json::array();
     for (auto& t : r.tasks) {
-        Json j{
-            {"parcel", t.attempt.task.str()}, {"try", t.attempt.number}, {"standing", state_name(t.state)}};
-        if (t.cause != Cause::none) j["cause"] = cause_name(t.cause);
-        if (t.saved) j["stored"] = true;
+        Json j{{"parcel", t.attempt.task.str()},
+               {"try", t.attempt.number},
+               {"standing", task_state_name(t.state)}};
+        if (t.cause != Cause::none) j["cause"] = exit_cause_name(t.cause);
+        if (t.checkpointed) j["stored"] = true;
         tasks.push_back(std::move(j));
     }
     Json out{
         {"barrow", r.machine}, {"endpoint", r.address},      {"build", r.type}, {"yard", r.zone},
-        {"loaners", r.spot},   {"shift", r.session},         {"tally", r.seq},  {"baton", r.fencing_token},
+        {"loaners", r.spot},   {"shift", r.agent_epoch},     {"tally", r.seq},  {"baton", r.fencing_token},
         {"recall_s", nullptr}, {"parcels", std::move(tasks)}};
     if (r.notice_s) out["recall_s"] = *r.notice_s;
     return out;
@@ -133,19 +134,19 @@
 std::optional<std::uint64_t> parse_fencing_token(const Json& body) {
     return count(body, "baton");
 }
-std::optional<std::uint64_t> parse_session(const Json& body) {
+std::optional<std::uint64_t> parse_agent_epoch(const Json& body) {
     return count(body, "shift");
 }
 std::optional<std::string> parse_redirect(const Json& body) {
     return text(body, "foreman");
 }
 
-Json report_answer(std::uint64_t fencing_token, const std::vector<Command>& commands) {
+Json worker_heartbeat_answer(std::uint64_t fencing_token, const std::vector<Command>& commands) {
     return Json{{"baton", fencing_token}, {"orders", commands_json(commands)}};
 }
 
-Json push_body(std::uint64_t fencing_token, std::uint64_t session, const std::vector<Command>& commands) {
-    return Json{{"baton", fencing_token}, {"shift", session}, {"orders", commands_json(commands)}};
+Json push_json(std::uint64_t fencing_token, std::uint64_t agent_epoch, const std::vector<Command>& commands) {
+    return Json{{"baton", fencing_token}, {"shift", agent_epoch}, {"orders", commands_json(commands)}};
 }
 
 Json redirect_answer(const std::string& leader) {
@@ -231,13 +232,13 @@
     return out;
 }
 
-std::optional<RentRequest> parse_rent(const Json& body) {
+std::optional<ProvisioningRequest> parse_provisioning_request(const Json& body) {
     auto request = text(body, "hire"), type = text(body, "build"), zone = text(body, "yard");
     auto n = count(body, "how_many");
     auto spot = flag(body, "loaners");
     if (!request || request->empty() || !type || !zone || !spot || !n || *n < 1 || *n > 50)
         return std::nullopt;
-    return RentRequest{*request, *type, *zone, *spot, static_cast<int>(*n)};
+    return ProvisioningRequest{*request, *type, *zone, *spot, static_cast<int>(*n)};
 }
 
 Json machine_names_json(const std::vector<std::string>& names) {
@@ -259,12 +260,12 @@
     return Json{{"barrows", std::move(out)}, {"truncated", list.more}};
 }
 
-Json rent_body(const std::string& request, const std::string& type, const std::string& zone, bool spot,
-               int n) {
+Json provisioning_request_json(const std::string& request, const std::string& type, const std::string& zone,
+                               bool spot, int n) {
     return Json{{"hire", request}, {"build", type}, {"yard", zone}, {"loaners", spot}, {"how_many", n}};
 }
 
-Json return_body(const std::vector<std::string>& names) {
+Json return_request_json(const std::vector<std::string>& names) {
     return Json{{"barrows", names}};
 }
 
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -42,13 +42,13 @@
     Attempt attempt;
     TaskState state = TaskState::running;
     Cause cause = Cause::none;
-    bool saved = false;
+    bool checkpointed = false;
 };
 
-struct Report {
+struct WorkerHeartbeat {
     std::string machine, address, type, zone;
     bool spot = false;
-    std::uint64_t session = 0, seq = 0, fencing_token = 0;
+    std::uint64_t agent_epoch = 0, seq = 0, fencing_token = 0;
     std::optional<double> notice_s;
     std::vector<TaskStatus> tasks;
 };
@@ -61,20 +61,20 @@
     double grace_s = 0;
 };
 
-std::optional<Report> parse_report(const Json& body);
-Json report_json(const Report& report);
+std::optional<WorkerHeartbeat> parse_worker_heartbeat(const Json& body);
+Json worker_heartbeat_json(const WorkerHeartbeat& heartbeat);
 Json commands_json(const std::vector<Command>& commands);
-// Commands as a worker reads them, from an answer to a report or a push. Nothing for what isn't a list of
+// Commands as a worker reads them, from an answer to a heartbeat or a push. Nothing for what isn't a list of
 // them.
 std::optional<std::vector<Command>> parse_commands(const Json& body);
 std::optional<std::uint64_t> parse_fencing_token(const Json& body);
-std::optional<std::uint64_t> parse_session(const Json& body);
+std::optional<std::uint64_t> parse_agent_epoch(const Json& body);
 std::optional<std::string> parse_redirect(const Json& body);
-Json report_answer(std::uint64_t fencing_token, const std::vector<Command>& commands);
-Json push_body(std::uint64_t fencing_token, std::uint64_t session, const std::vector<Command>& commands);
+Json worker_heartbeat_answer(std::uint64_t fencing_token, const std::vector<Command>& commands);
+Json push_json(std::uint64_t fencing_token, std::uint64_t agent_epoch, const std::vector<Command>& commands);
 Json redirect_answer(const std::string& leader);  // empty: no leader known
-const char* cause_name(Cause cause);
-const char* state_name(TaskState state);
+const char* exit_cause_name(Cause cause);
+const char* task_state_name(TaskState state);
 
 // Cloud messages.
 struct MachineType {
@@ -99,17 +99,17 @@
 std::optional<MachineList> parse_machine_list(const Json& body);
 std::optional<std::vector<std::string>> parse_machine_names(const Json& body);
 // As the cloud reads and answers.
-struct RentRequest {
+struct ProvisioningRequest {
     std::string request, type, zone;
     bool spot = false;
     int count = 0;
 };
-std::optional<RentRequest> parse_rent(const Json& body);
+std::optional<ProvisioningRequest> parse_provisioning_request(const Json& body);
 Json machine_names_json(const std::vector<std::string>& names);
 Json machine_list_json(const MachineList& list);
-Json rent_body(const std::string& request, const std::string& type, const std::string& zone, bool spot,
-               int n);
-Json return_body(const std::vector<std::string>& names);
+Json provisioning_request_json(const std::string& request, const std::string& type, const std::string& zone,
+                               bool spot, int n);
+Json return_request_json(const std::vector<std::string>& names);
 std::string list_target(const std::string& after, int limit);
 
 }  // namespace barrowrun::wire
--- a/src/wire/submission.cpp
+++ b/src/wire/submission.cpp
@@ -11,16 +11,17 @@
     const char* word;
     E value;
 };
-constexpr Word<Sort> sorts[] = {{"sweep", Sort::array}, {"gang", Sort::gang}, {"daemon", Sort::service}};
+constexpr Word<JobKind> sorts[] = {
+    {"sweep", JobKind::array}, {"gang", JobKind::gang}, {"daemon", JobKind::service}};
 constexpr Word<Priority> ranks[] = {{"production", Priority::production},
                                     {"urgent", Priority::high},
                                     {"normal", Priority::normal},
                                     {"low", Priority::low}};
-constexpr Word<Standing> standings[] = {{"queued", Standing::queued},
-                                        {"running", Standing::running},
-                                        {"done", Standing::done},
-                                        {"withdrawn", Standing::cancelled},
-                                        {"failed", Standing::failed}};
+constexpr Word<JobState> job_state_words[] = {{"queued", JobState::queued},
+                                              {"running", JobState::running},
+                                              {"done", JobState::done},
+                                              {"withdrawn", JobState::cancelled},
+                                              {"failed", JobState::failed}};
 
 constexpr std::string_view known_fields[] = {
     "name_id", "docket",    "crew",     "sort",   "rank",    "parcels",    "vcpus",  "cards",
@@ -85,7 +86,7 @@
     take_text("docket", s.job_class);
     take_text("crew", s.team);
     if (auto v = lookup(sorts, text(body, "sort").value_or("")))
-        s.sort = *v;
+        s.kind = *v;
     else
         bad("sort");
     if (auto v = lookup(ranks, text(body, "rank").value_or("")))
@@ -153,7 +154,7 @@
     Json out{{"name_id", s.id},
              {"docket", s.job_class},
              {"crew", s.team},
-             {"sort", word_for(sorts, s.sort)},
+             {"sort", word_for(sorts, s.kind)},
              {"rank", word_for(ranks, s.priority)},
              {"parcels", s.tasks},
              {"vcpus", s.need.cpus},
@@ -180,25 +181,25 @@
     return lookup(ranks, word);
 }
 
-const char* standing_name(Standing s) {
-    return word_for(standings, s);
+const char* job_state_name(JobState s) {
+    return word_for(job_state_words, s);
 }
-std::optional<Standing> standing_of(const std::string& word) {
-    return lookup(standings, word);
+std::optional<JobState> parse_job_state(const std::string& word) {
+    return lookup(job_state_words, word);
 }
 
 Json status_json(const JobStatus& s) {
     Json out{
-        {"name_id", s.id}, {"standing", standing_name(s.standing)}, {"done", s.done}, {"running", s.running}};
+        {"name_id", s.id}, {"standing", job_state_name(s.state)}, {"done", s.done}, {"running", s.running}};
     if (s.errors) out["errors"] = error_count_json(*s.errors);
     return out;
 }
 
 std::optional<JobStatus> parse_status(const Json& body) {
     auto id = text(body, "name_id");
-    auto standing = standing_of(text(body, "standing").value_or(""));
-    if (!id || !standing) return std::nullopt;
-    JobStatus s{*id, *standing, count(body, "done").value_or(0), count(body, "running").value_or(0), {}};
+    auto job_state = parse_job_state(text(body, "standing").value_or(""));
+    if (!id || !job_state) return std::nullopt;
+    JobStatus s{*id, *job_state, count(body, "done").value_or(0), count(body, "running").value_or(0), {}};
     if (const Json* e = find(body, "errors")) s.errors = parse_error_count(*e);
     return s;
 }
@@ -220,8 +221,8 @@
     return c;
 }
 
-Json accepted_json(const std::string& id, Standing s) {
-    return Json{{"name_id", id}, {"standing", standing_name(s)}};
+Json accepted_json(const std::string& id, JobState s) {
+    return Json{{"name_id", id}, {"standing", job_state_name(s)}};
 }
 
 }  // namespace barrowrun::wire
--- a/src/wire/submission.hpp
+++ b/src/wire/submission.hpp
@@ -9,7 +9,7 @@
 
 namespace barrowrun::wire {
 
-enum class Sort { array, gang, service };
+enum class JobKind { array, gang, service };
 enum class Priority { production, high, normal, low };
 inline constexpr int priority_levels = 4;
 inline constexpr std::uint32_t max_tasks = 100'000;
@@ -33,7 +33,7 @@
 
 struct JobSpec {
     std::string id, job_class, team;
-    Sort sort = Sort::array;
+    JobKind kind = JobKind::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 0;
     Resources need;
@@ -60,10 +60,10 @@
 std::variant<JobSpec, std::string> parse_submission(const Json& body);
 Json submission_json(const JobSpec& spec);
 
-enum class Standing { queued, running, done, cancelled, failed };
+enum class JobState { queued, running, done, cancelled, failed };
 std::optional<Priority> priority_of(const std::string& word);
-const char* standing_name(Standing s);
-std::optional<Standing> standing_of(const std::string& word);
+const char* job_state_name(JobState s);
+std::optional<JobState> parse_job_state(const std::string& word);
 
 // The last failure of a job that counts them.
 struct Failure {
@@ -79,12 +79,12 @@
 
 struct JobStatus {
     std::string id;
-    Standing standing = Standing::queued;
+    JobState state = JobState::queued;
     std::uint64_t done = 0, running = 0;
     std::optional<ErrorCount> errors;  // of jobs that set `retries`
 };
 Json status_json(const JobStatus& s);
 std::optional<JobStatus> parse_status(const Json& body);
-Json accepted_json(const std::string& id, Standing s);
+Json accepted_json(const std::string& id, JobState s);
 
 }  // namespace barrowrun::wire
--- a/src/worker/agent.cpp
+++ b/src/worker/agent.cpp
@@ -23,7 +23,7 @@
     s.zone = j.at("zone");
     s.spot = j.value("spot", false);
     s.capacity = {j.at("cpus"), j.value("gpus", 0.0), j.at("mem_gb")};
-    s.times.report = secs(j.value("report_s", 3.0));
+    s.times.heartbeat = secs(j.value("report_s", 3.0));
     s.times.lease = secs(j.value("lease_s", 20.0));
     s.times.gang_wait = secs(j.value("gang_wait_s", 30.0));
     s.times.gang_peer = secs(j.value("gang_peer_s", 4.0));
@@ -42,7 +42,7 @@
 
 // Sessions grow over the ends of this process too: a higher one tells the controllers that nothing of an
 // earlier one is left, so what an earlier worker left must have ended before the number is used.
-std::uint64_t Agent::next_session(const WorkerSettings& s) {
+std::uint64_t Agent::next_agent_epoch(const WorkerSettings& s) {
     std::filesystem::create_directories(s.state_dir);
     auto left = proc::end_marked(s.state_dir);
     if (left) spdlog::warn("{} processes of an earlier worker were ended", left);
@@ -57,9 +57,9 @@
       settings_(std::move(settings)),
       server_(io, 200),
       client_(io, 1),
-      session_(next_session(settings_)),
+      agent_epoch_(next_agent_epoch(settings_)),
       machine_(settings_.name, settings_.announce, settings_.type, settings_.zone, settings_.spot,
-               settings_.capacity, settings_.times, session_, Clock::now()),
+               settings_.capacity, settings_.times, agent_epoch_, Clock::now()),
       wake_(io) {
     keep_session();
     ExecutorSettings e{settings_.name, settings_.state_dir, settings_.times.gang_peer,
@@ -69,7 +69,7 @@
 }
 
 void Agent::keep_session() {
-    depot::write_whole(std::filesystem::path(settings_.state_dir) / "session", std::to_string(session_));
+    depot::write_whole(std::filesystem::path(settings_.state_dir) / "session", std::to_string(agent_epoch_));
 }
 
 void Agent::start() {
@@ -86,7 +86,7 @@
     };
     net::asio::co_spawn(io_, server_.serve([this](net::Request r) { return route(std::move(r)); }),
                         ended("the server"));
-    net::asio::co_spawn(io_, report_loop(), ended("the reports"));
+    net::asio::co_spawn(io_, heartbeat_loop(), ended("the heartbeats"));
     net::asio::co_spawn(io_, tick_loop(), ended("the ticks"));
     net::asio::co_spawn(io_, notice_loop(), ended("the notices"));
 }
@@ -97,9 +97,9 @@
 
 void Agent::changed() {
     executor_->act();
-    if (machine_.session() != session_) {
-        spdlog::warn("the lease has run out: session {} begins", machine_.session());
-        session_ = machine_.session();
+    if (machine_.agent_epoch() != agent_epoch_) {
+        spdlog::warn("the lease has expired: agent epoch {} begins", machine_.agent_epoch());
+        agent_epoch_ = machine_.agent_epoch();
         keep_session();
     }
     wake_.wake();
@@ -109,7 +109,7 @@
     for (;;) {
         machine_.tick(Clock::now());
         executor_->act();
-        if (machine_.session() != session_) changed();
+        if (machine_.agent_epoch() != agent_epoch_) changed();
         co_await net::sleep_for(50ms);
     }
 }
@@ -134,7 +134,7 @@
     }
 }
 
-Task<> Agent::report_loop() {
+Task<> Agent::heartbeat_loop() {
     std::vector<std::pair<std::string, std::string>> nodes(settings_.controllers.begin(),
                                                            settings_.controllers.end());
     std::size_t at = std::hash<std::string>{}(settings_.name) % nodes.size();
@@ -152,18 +152,18 @@
             co_await net::sleep_for(10ms);
             continue;
         }
-        auto session = machine_.session();
-        auto report = machine_.report(now);
+        auto agent_epoch = machine_.agent_epoch();
+        auto heartbeat = machine_.heartbeat(now);
         machine_.reported(now);
-        auto reply = co_await client_.call(nodes[at].second, verb::post, "/hello", wire::report_json(report),
-                                           answer_within);
+        auto reply = co_await client_.call(nodes[at].second, verb::post, "/hello",
+                                           wire::worker_heartbeat_json(heartbeat), answer_within);
         auto after = Clock::now();
         if (auto line = reach.note(reply.status == 200 || reply.status == 421, after))
             spdlog::warn("{}", *line);
         if (reply.status == 200) {
             auto commands = wire::parse_commands(reply.body);
             if (commands && !reply.garbage)
-                machine_.answered(wire::parse_fencing_token(reply.body), session, *commands, now, after);
+                machine_.answered(wire::parse_fencing_token(reply.body), agent_epoch, *commands, now, after);
             changed();
             continue;
         }
@@ -196,24 +196,24 @@
         machine_.tick(now);
         executor_->act();
         if (machine_.ending()) co_return net::Response{503, {{"error", "between two sessions"}}, 1};
-        co_return net::Response{200, wire::report_json(machine_.report(now))};
+        co_return net::Response{200, wire::worker_heartbeat_json(machine_.heartbeat(now))};
     }
     if (request.target != "/commands" || request.method != verb::post)
         co_return net::Response{404, {{"error", "no such path"}}};
     auto body = wire::decode(request.body);
     auto fencing_token = body ? wire::parse_fencing_token(*body) : std::nullopt;
-    auto session = body ? wire::parse_session(*body) : std::nullopt;
+    auto agent_epoch = body ? wire::parse_agent_epoch(*body) : std::nullopt;
     auto commands = body ? wire::parse_commands(*body) : std::nullopt;
-    if (!fencing_token || !session || !commands)
+    if (!fencing_token || !agent_epoch || !commands)
         co_return net::Response{400, {{"error", "baton, shift or orders"}}};
-    bool executed = machine_.commanded(*fencing_token, *session, *commands, now);
+    bool executed = machine_.commanded(*fencing_token, *agent_epoch, *commands, now);
     changed();
     if (!executed && machine_.ending()) co_return net::Response{503, {{"error", "between two sessions"}}, 1};
     // A description is there within a moment: the answer should tell of a start rather than of a fetch.
     for (int i = 0; executed && i < 20 && machine_.fetching(); ++i) co_await net::sleep_for(1ms);
-    auto report = machine_.report(Clock::now());
+    auto heartbeat = machine_.heartbeat(Clock::now());
     if (executed && !machine_.fetching()) machine_.told();
-    co_return net::Response{executed ? 200 : 409, wire::report_json(report)};
+    co_return net::Response{executed ? 200 : 409, wire::worker_heartbeat_json(heartbeat)};
 }
 
 }  // namespace barrowrun::worker
--- a/src/worker/agent.hpp
+++ b/src/worker/agent.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The worker as a whole: reports to one controller at a time, takes commands, and lets the executor act.
+// The worker as a whole: sends heartbeats to one controller at a time, takes commands, and lets the executor
+// act.
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
 #include "worker/executor.hpp"
@@ -20,25 +21,26 @@
 
 class Agent {
   public:
-    // Ends what an earlier worker of this machine left running, and begins a new session. Throws if it can't.
+    // Ends what an earlier worker of this machine left running, and begins a new agent epoch. Throws if it
+    // can't.
     Agent(net::asio::io_context& io, WorkerSettings settings);
     void start();
     void stop();
 
   private:
-    Task<> report_loop();
+    Task<> heartbeat_loop();
     Task<> tick_loop();
     Task<> notice_loop();
     Task<net::Response> route(net::Request request);
     void changed();
     void keep_session();
-    static std::uint64_t next_session(const WorkerSettings& s);
+    static std::uint64_t next_agent_epoch(const WorkerSettings& s);
 
     net::asio::io_context& io_;
     WorkerSettings settings_;
     net::HttpServer server_;
     net::HttpClient client_;
-    std::uint64_t session_;
+    std::uint64_t agent_epoch_;
     Machine machine_;
     net::Signal wake_;
     std::shared_ptr<Executor> executor_;
--- a/src/worker/executor.cpp
+++ b/src/worker/executor.cpp
@@ -218,7 +218,7 @@
         auto what = depot_.description(a.task.job);
         if (!what) throw std::runtime_error("the description is gone");
         r->what = std::move(*what);
-        gang = r->what.spec.sort == wire::Sort::gang;
+        gang = r->what.spec.kind == wire::JobKind::gang;
         if (gang) net::asio::co_spawn(io_, hold_gang(r), net::asio::detached);
         done = co_await steps(r, result);
     } catch (const std::exception& e) {
--- a/src/worker/executor.hpp
+++ b/src/worker/executor.hpp
@@ -35,7 +35,7 @@
     Task<> hold_gang(std::shared_ptr<Running> r);
     // One attempt from its directory to its final answer. True: the task is done.
     Task<bool> steps(std::shared_ptr<Running> r, depot::Result& result);
-    // File operations that may take long go to a thread of their own: reports must not wait for a disk.
+    // File operations that may take long go to a thread of their own: heartbeats must not wait for a disk.
     template <class F>
     Task<> aside(F work);
 
--- a/src/worker/machine.cpp
+++ b/src/worker/machine.cpp
@@ -3,10 +3,10 @@
 #include <algorithm>
 
 namespace barrowrun::worker {
-using wire::Sort;
+using wire::JobKind;
 
 Machine::Machine(std::string name, std::string address, std::string type, std::string zone, bool spot,
-                 wire::Resources capacity, Times times, std::uint64_t session, TimePoint now)
+                 wire::Resources capacity, Times times, std::uint64_t agent_epoch, TimePoint now)
     : name_(std::move(name)),
       address_(std::move(address)),
       type_(std::move(type)),
@@ -14,7 +14,7 @@
       spot_(spot),
       capacity_(capacity),
       times_(times),
-      session_(session),
+      agent_epoch_(agent_epoch),
       renewed_(now) {}
 
 bool Machine::fetching() const {
@@ -31,9 +31,9 @@
     changed();
 }
 
-bool Machine::answered(std::optional<std::uint64_t> fencing_token, std::uint64_t session,
+bool Machine::answered(std::optional<std::uint64_t> fencing_token, std::uint64_t agent_epoch,
                        const std::vector<wire::Command>& commands, TimePoint sent, TimePoint now) {
-    if (!fencing_token || *fencing_token < fencing_token_ || session != session_) return false;
+    if (!fencing_token || *fencing_token < fencing_token_ || agent_epoch != agent_epoch_) return false;
     // The lease may have run out while the answer was under way, and nobody has ticked since.
     if (now > lease_end()) {
         tick(now);
@@ -45,11 +45,11 @@
     return true;
 }
 
-bool Machine::commanded(std::uint64_t fencing_token, std::uint64_t session,
+bool Machine::commanded(std::uint64_t fencing_token, std::uint64_t agent_epoch,
                         const std::vector<wire::Command>& commands, TimePoint now) {
-    // A machine that hung past its lease must not obey before it has ended its session.
+    // A machine that hung past its lease must not obey before it has ended its agent epoch.
     tick(now);
-    if (fencing_token < fencing_token_ || session != session_ || ending()) return false;
+    if (fencing_token < fencing_token_ || agent_epoch != agent_epoch_ || ending()) return false;
     learn(fencing_token, now);
     execute(commands, now);
     return true;
@@ -99,7 +99,7 @@
     }
     t.spec = *spec;
     changed();
-    if (spec->sort == Sort::gang) {
+    if (spec->kind == JobKind::gang) {
         t.state = TaskState::waiting;
         t.wait_until = now + times_.gang_wait;
         actions_.push_back({Action::meet, a, {}});
@@ -201,7 +201,7 @@
             if (!t.killed) actions_.push_back({Action::kill, a, {}});
         }
     tasks_.clear();
-    ++session_;
+    ++agent_epoch_;
     renewed_ = now;
     changed();
 }
@@ -217,14 +217,14 @@
     }
 }
 
-wire::Report Machine::report(TimePoint now) {
-    wire::Report r;
+wire::WorkerHeartbeat Machine::heartbeat(TimePoint now) {
+    wire::WorkerHeartbeat r;
     r.machine = name_;
     r.address = address_;
     r.type = type_;
     r.zone = zone_;
     r.spot = spot_;
-    r.session = session_;
+    r.agent_epoch = agent_epoch_;
     r.seq = ++seq_;
     r.fencing_token = fencing_token_;
     if (recall_) r.notice_s = std::max(0.0, Seconds(*recall_ - now).count());
@@ -235,7 +235,7 @@
 TimePoint Machine::report_due(TimePoint now) const {
     if (last_sent_ == TimePoint{}) return now;
     if (has_change_) return std::max(now, last_sent_ + times_.least_between);
-    return last_sent_ + times_.report;
+    return last_sent_ + times_.heartbeat;
 }
 
 void Machine::reported(TimePoint sent) {
--- a/src/worker/machine.hpp
+++ b/src/worker/machine.hpp
@@ -20,7 +20,7 @@
 using wire::TaskState;
 
 struct Times {
-    Clock::duration report = std::chrono::seconds(3), lease = std::chrono::seconds(20),
+    Clock::duration heartbeat = std::chrono::seconds(3), lease = std::chrono::seconds(20),
                     gang_wait = std::chrono::seconds(30), gang_peer = std::chrono::seconds(4),
                     least_between = std::chrono::milliseconds(500);
 };
@@ -41,14 +41,15 @@
 class Machine {
   public:
     Machine(std::string name, std::string address, std::string type, std::string zone, bool spot,
-            wire::Resources capacity, Times times, std::uint64_t session, TimePoint now);
+            wire::Resources capacity, Times times, std::uint64_t agent_epoch, TimePoint now);
 
-    // ---- commands. Executed in order, and only with a fitting token and session.
-    // The answer to a report of this session, sent at `sent`. False: dropped, for a lower token or none.
-    bool answered(std::optional<std::uint64_t> fencing_token, std::uint64_t session,
+    // ---- commands. Executed in order, and only with a fitting token and agent epoch.
+    // The answer to a heartbeat of this agent epoch, sent at `sent`. False: dropped, for a lower token or
+    // none.
+    bool answered(std::optional<std::uint64_t> fencing_token, std::uint64_t agent_epoch,
                   const std::vector<wire::Command>& commands, TimePoint sent, TimePoint now);
     // Direct commands: they do not renew the lease. False: 409.
-    bool commanded(std::uint64_t fencing_token, std::uint64_t session,
+    bool commanded(std::uint64_t fencing_token, std::uint64_t agent_epoch,
                    const std::vector<wire::Command>& commands, TimePoint now);
 
     // ---- what became of actions; for attempts forgotten meanwhile they change nothing.
@@ -60,10 +61,10 @@
 
     // Time passing: the lease, the end of grace, gangs that are not complete in time.
     void tick(TimePoint now);
-    // While a process of a session that is over is still there, the new session does not begin.
+    // While a process of an agent epoch that is over is still there, the new agent epoch does not begin.
     bool ending() const { return !dying_.empty(); }
-    // Whether the attempt may still decide its task's result: it is of this session, its lease is alive and
-    // nobody has stopped it.
+    // Whether the attempt may still decide its task's result: it is of this agent epoch, its lease is alive
+    // and nobody has stopped it.
     bool may_publish(const Attempt& a, TimePoint now) const;
 
     bool waits(const Attempt& a) const {  // for the other tasks of its gang
@@ -71,18 +72,19 @@
         return it != tasks_.end() && it->second.state == TaskState::waiting;
     }
 
-    wire::Report report(TimePoint now);  // counts it
-    // When the next report is due.
+    wire::WorkerHeartbeat heartbeat(TimePoint now);  // counts it
+    // When the next heartbeat is due.
     TimePoint report_due(TimePoint now) const;
     void reported(TimePoint sent);
-    // What has changed so far stands in the answer to a command, which is a report as well: it needs no
-    // other. Should that answer be lost, the next regular report tells it. Otherwise each start would use up
-    // the half second that must lie between reports, and the end of a short task would wait for the next.
+    // What has changed so far stands in the answer to a command, which is a heartbeat as well: it needs no
+    // other. Should that answer be lost, the next regular heartbeat tells it. Otherwise each start would use
+    // up the half second that must lie between heartbeats, and the end of a short task would wait for the
+    // next.
     void told() { has_change_ = false; }
     bool fetching() const;  // some task's description is being read
     std::vector<Action> take_actions() { return std::exchange(actions_, {}); }
 
-    std::uint64_t session() const { return session_; }
+    std::uint64_t agent_epoch() const { return agent_epoch_; }
     std::uint64_t fencing_token() const { return fencing_token_; }
     TimePoint lease_end() const { return renewed_ + times_.lease; }
     const Times& times() const { return times_; }
@@ -110,7 +112,7 @@
     bool spot_;
     wire::Resources capacity_;
     Times times_;
-    std::uint64_t session_, seq_ = 0, fencing_token_ = 0;
+    std::uint64_t agent_epoch_, seq_ = 0, fencing_token_ = 0;
     TimePoint renewed_, last_sent_{}, fencing_token_change_{};
     bool has_change_ = true;
     std::optional<TimePoint> recall_;
--- a/src/worker/process.cpp
+++ b/src/worker/process.cpp
@@ -56,7 +56,8 @@
             co_await out_.async_wait(net::asio::posix::descriptor_base::wait_read,
                                      net::asio::redirect_error(net::asio::use_awaitable, ec));
             if (ec) co_return;
-            // One portion at a time: a command that writes without end must not keep reports from going out.
+            // One portion at a time: a command that writes without end must not keep heartbeats from going
+            // out.
             auto n = ::read(out_.native_handle(), part.data(), part.size());
             if (n > 0)
                 output(part.data(), static_cast<std::size_t>(n));
--- a/src/workflow/driver.cpp
+++ b/src/workflow/driver.cpp
@@ -9,7 +9,7 @@
 namespace barrowrun::workflow {
 using namespace std::chrono_literals;
 using client::Answer;
-using wire::Standing;
+using wire::JobState;
 
 namespace {
 
@@ -208,7 +208,7 @@
     spec.id = s->job;
     spec.job_class = s->work.job_class;
     spec.team = settings_.team;
-    spec.sort = wire::Sort::array;
+    spec.kind = wire::JobKind::array;
     spec.priority = s->work.rank;
     spec.tasks = 1;
     spec.need = s->work.need;
@@ -277,7 +277,7 @@
             // Known already, and perhaps over.
             conclude(s);
             s->asked = Clock::now();
-            if (outcome.status.standing != Standing::queued && outcome.status.standing != Standing::running)
+            if (outcome.status.state != JobState::queued && outcome.status.state != JobState::running)
                 co_await poll(s);
             act();
             co_return;
@@ -356,22 +356,22 @@
         co_return;
     }
     if (outcome.answer != Answer::accepted) co_return;
-    switch (outcome.status.standing) {
-        case Standing::failed:
+    switch (outcome.status.state) {
+        case JobState::failed:
             fail(s, "");
             break;
-        case Standing::cancelled:
+        case JobState::cancelled:
             fail(s, "cancelled");
             break;
-        case Standing::done:
+        case JobState::done:
             conclude(s);
             if (running_.contains(s->job)) fail(s, "it is done, and left no result in the depot");
             break;
-        case Standing::queued:
+        case JobState::queued:
             // A failure has stopped the flow: what has not begun is not begun.
             if (flow_.failed() && !settings_.options.keep_going) fail(s, "cancelled");
             break;
-        case Standing::running:
+        case JobState::running:
             break;
     }
 }
--- a/tests/sheets_test.cpp
+++ b/tests/assignment_shards_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace barrowrun;
 using namespace barrowrun::testing;
-using fleet::Sheets;
+using fleet::AssignmentShards;
 using wire::Priority;
 
 namespace {
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-TEST(Sheets, AnArrayOnHundredsOfMachinesCostsAFewChanges) {
+TEST(AssignmentShards, AnArrayOnHundredsOfMachinesCostsAFewChanges) {
     Fleet f(tight());
     for (int i = 0; i < 600; ++i) f.up(name_of(i));
     write_all(f);
@@ -67,14 +67,14 @@
     EXPECT_LE(write_all(f).changes, 20u);
 }
 
-TEST(Sheets, AServicesStartOvertakesAWaitingArray) {
+TEST(AssignmentShards, AServicesStartOvertakesAWaitingArray) {
     Fleet f(tight());
     for (int i = 0; i < 400; ++i) f.up(name_of(i));
     write_all(f);
     f.add(f.spec("wk-1", 350, 4));
     f.cluster->round(f.now);
     auto service = f.spec("wk-2", 1, 4);
-    service.sort = wire::Sort::service;
+    service.kind = wire::JobKind::service;
     service.priority = Priority::production;
     f.add(service);
     f.cluster->round(f.now);
@@ -85,26 +85,26 @@
     EXPECT_TRUE(first);
 }
 
-TEST(Sheets, OneThatGrewTooLargeIsWrittenOnlyAfterWhatItGaveAway) {
-    Sheets s(1000);
+TEST(AssignmentShards, OneThatGrewTooLargeIsWrittenOnlyAfterWhatItGaveAway) {
+    AssignmentShards s(1000);
     for (int i = 0; i < 3; ++i) s.start(name_of(i), {Priority::normal, {}});
     ASSERT_EQ(s.due(false).size(), 1u);
     EXPECT_FALSE(s.fits(0, 1200));
-    EXPECT_EQ(s.due(false), std::vector<Sheets::Number>{1}) << "the part that moved goes first";
+    EXPECT_EQ(s.due(false), std::vector<AssignmentShards::ShardId>{1}) << "the part that moved goes first";
     s.taken(1);
     EXPECT_TRUE(s.due(true).empty());
     s.failed(1);
-    EXPECT_EQ(s.due(false), std::vector<Sheets::Number>{1});
+    EXPECT_EQ(s.due(false), std::vector<AssignmentShards::ShardId>{1});
     s.taken(1);
     s.durable(1);
-    EXPECT_EQ(s.due(false), std::vector<Sheets::Number>{0});
+    EXPECT_EQ(s.due(false), std::vector<AssignmentShards::ShardId>{0});
     EXPECT_EQ(s.machines(0).size() + s.machines(1).size(), 3u);
 }
 
 // Random histories with a crash between any two writes: what was sent to a machine and may be there is on
 // record, so a successor believes it.
-TEST(Sheets, ASuccessorBelievesEveryStartThatMayBeOnAMachine) {
-    std::size_t sheets = 0, crashes = 0;
+TEST(AssignmentShards, ASuccessorBelievesEveryStartThatMayBeOnAMachine) {
+    std::size_t shards = 0, crashes = 0;
     for (unsigned seed = 1; seed <= 30; ++seed) {
         std::mt19937 random(seed);
         auto any = [&](int n) { return std::uniform_int_distribution<int>(0, n - 1)(random); };
@@ -121,16 +121,16 @@
             auto some = name_of(any(25));
             switch (any(6)) {
                 case 0: {
-                    auto report = f.report(some, {}, fencing_token, "a", "card");
+                    auto heartbeat = f.heartbeat(some, {}, fencing_token, "a", "card");
                     for (auto& t : there[some]) {
                         auto slash = t.find('#');
-                        report.tasks.push_back(
+                        heartbeat.tasks.push_back(
                             {{*wire::TaskId::parse(t.substr(0, slash)), std::stoull(t.substr(slash + 1))},
                              TaskState::running,
                              Cause::none,
                              false});
                     }
-                    f.cluster->on_report(report, true, f.now);
+                    f.cluster->on_heartbeat(heartbeat, true, f.now);
                     break;
                 }
                 case 1: {
@@ -154,10 +154,11 @@
                     f.restart(fencing_token += 10);
                     for (auto& s : specs) f.add(s);
                     for (auto& [key, value] : kept) {
-                        auto records = state::parse_sheet(value);
+                        auto records = state::parse_assignment_shard(value);
                         ASSERT_TRUE(records);
                         for (auto& r : *records)
-                            f.cluster->inherit(*state::parse_sheet_key(key), r, f.now, f.wall);
+                            f.cluster->recover_machine(*state::parse_assignment_shard_key(key), r, f.now,
+                                                       f.wall);
                     }
                     for (auto& [machine, tasks] : there)
                         for (auto& t : tasks) {
@@ -180,7 +181,7 @@
                         break;
                     }
                     for (auto& w : writes) {
-                        if (w.value && state::parse_sheet_key(w.key)) kept[w.key] = *w.value;
+                        if (w.value && state::parse_assignment_shard_key(w.key)) kept[w.key] = *w.value;
                         if (w.durable) w.durable();
                     }
                     for (auto& [name, m] : f.cluster->machines())
@@ -192,9 +193,9 @@
                 }
             }
         }
-        sheets += kept.size();
+        shards += kept.size();
     }
-    EXPECT_GT(sheets, 60u);
+    EXPECT_GT(shards, 60u);
     EXPECT_GT(crashes, 300u);
 }
 
@@ -203,7 +204,8 @@
     f.add(f.spec("wk-1"));
     f.cluster->distrust_records(0, f.now + 20s);
     f.up("n-1");
-    for (auto& w : f.write()) EXPECT_NE(w.key, state::sheet_key(0)) << "a successor must see it too";
+    for (auto& w : f.write())
+        EXPECT_NE(w.key, state::assignment_shard_key(0)) << "a successor must see it too";
     f.place_all();
     EXPECT_TRUE(f.on("n-1").empty());
     f.now += 21s;
