--- a/tests/renting_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -2,36 +2,36 @@
 
 using namespace barrowrun;
 using namespace barrowrun::testing;
-using renting::Offer;
-using renting::Renting;
+using autoscaler::Autoscaler;
+using autoscaler::Offer;
 
 namespace {
-int count(const renting::RentPlan& plan, bool spot) {
+int count(const autoscaler::ScalingPlan& plan, bool spot) {
     int n = 0;
-    for (auto& o : plan.rent)
+    for (auto& o : plan.scale_out)
         if (o.offer.spot == spot) n += o.count;
     return n;
 }
 }  // namespace
 
-TEST(Renting, CheapMachinesOnlyForJobsThatMayUseThem) {
+TEST(Autoscaler, SpotInstancesOnlyForJobsThatMayUseThem) {
     Fleet f;
     auto s = f.spec("wk-1", 4);
-    s.sort = wire::Sort::service;
+    s.kind = wire::JobKind::service;
     f.add(s);
-    Renting r;
+    Autoscaler r;
     auto plan = r.plan(*f.cluster, f.now);
     EXPECT_EQ(count(plan, true), 0);
     EXPECT_GT(count(plan, false), 0);
-    for (auto& o : plan.rent) EXPECT_EQ(o.offer.type, "small");
+    for (auto& o : plan.scale_out) EXPECT_EQ(o.offer.type, "small");
 }
 
-TEST(Renting, ARefusedOfferIsLeftAloneForAWhile) {
+TEST(Autoscaler, ARefusedOfferIsLeftAloneForAWhile) {
     Fleet f;
     auto s = f.spec("wk-1", 1, 4);
     s.spot_ok = true;
     f.add(s);
-    Renting r;
+    Autoscaler r;
     EXPECT_EQ(count(r.plan(*f.cluster, f.now), true), 1);
     r.refused({"small", "a", true}, f.now);
     r.refused({"small", "b", true}, f.now);
@@ -43,45 +43,45 @@
 
 // Found on kdh-colombo-grown: the whole need was asked of one refused offer after the other, and machines
 // that were to be had came 20 s later.
-TEST(Renting, AnOfferThatWasRefusedIsAskedForOneMachineAndTheRestGoesElsewhere) {
+TEST(Autoscaler, AnOfferThatWasRefusedIsAskedForOneMachineAndTheRestGoesElsewhere) {
     Fleet f;
     auto s = f.spec("wk-1", 12, 4);
     s.spot_ok = true;
     f.add(s);
-    Renting r;
+    Autoscaler r;
     ASSERT_GT(count(r.plan(*f.cluster, f.now), true), 2);
     for (auto type : {"small", "card"})
         for (auto zone : {"a", "b"}) r.refused({type, zone, true}, f.now);
     auto plan = r.plan(*f.cluster, f.now + 60s);
-    for (auto& o : plan.rent) EXPECT_TRUE(!o.offer.spot || o.count == 1);
+    for (auto& o : plan.scale_out) EXPECT_TRUE(!o.offer.spot || o.count == 1);
     EXPECT_GT(count(plan, false), 0);
     // While that question is open, no other is put.
     auto later = r.plan(*f.cluster, f.now + 60s, {{{"small", "a", true}, 1}, {{"small", "b", true}, 1}});
-    for (auto& o : later.rent) EXPECT_FALSE(o.offer.spot && o.offer.type == "small");
+    for (auto& o : later.scale_out) EXPECT_FALSE(o.offer.spot && o.offer.type == "small");
 }
 
 // Many machines are asked for at once, in requests as large as the cloud takes, the largest first.
-TEST(Renting, ALargeNeedGoesOutInFewLargeRequests) {
+TEST(Autoscaler, ALargeNeedGoesOutInFewLargeRequests) {
     Fleet f;
     auto s = f.spec("wk-1", 280, 4);
-    s.sort = wire::Sort::service;
+    s.kind = wire::JobKind::service;
     f.add(s);
-    auto plan = Renting().plan(*f.cluster, f.now);
+    auto plan = Autoscaler().plan(*f.cluster, f.now);
     EXPECT_GE(count(plan, false), 280);
-    for (std::size_t i = 0; i < plan.rent.size(); ++i) {
-        EXPECT_LE(plan.rent[i].count, 50);
-        EXPECT_LE(plan.rent[i].count, plan.rent[i > 0 ? i - 1 : 0].count);
+    for (std::size_t i = 0; i < plan.scale_out.size(); ++i) {
+        EXPECT_LE(plan.scale_out[i].count, 50);
+        EXPECT_LE(plan.scale_out[i].count, plan.scale_out[i > 0 ? i - 1 : 0].count);
     }
-    EXPECT_LE(plan.rent.size(), 8u);
+    EXPECT_LE(plan.scale_out.size(), 8u);
     // What is asked for already is not asked for again.
-    std::vector<renting::Order> coming;
-    for (auto& o : plan.rent) coming.push_back(o);
-    EXPECT_EQ(count(Renting().plan(*f.cluster, f.now, coming), false), 0);
+    std::vector<autoscaler::MachineOrder> pending;
+    for (auto& o : plan.scale_out) pending.push_back(o);
+    EXPECT_EQ(count(Autoscaler().plan(*f.cluster, f.now, pending), false), 0);
 }
 
 // Machines rented for what ending tasks make room for anyway came up to stand idle. A job that is late gets
 // them.
-TEST(Renting, RoomThatEndingTasksLeaveBeforeABootIsCounted) {
+TEST(Autoscaler, RoomThatEndingTasksLeaveBeforeABootIsCounted) {
     placement::Rules rules;
     rules.teams["crew"] = {};
     rules.headroom_min = rules.headroom_max = 0;
@@ -96,7 +96,7 @@
         s.estimate_s = 60;  // as long as it may take: a slot for each task
         auto& job = f.add(s);
         job.accepted = f.now - waited;
-        int n = count(Renting().plan(*f.cluster, f.now), false);
+        int n = count(Autoscaler().plan(*f.cluster, f.now), false);
         f.cluster->cancel(job, f.now);
         f.write();
         f.write();
@@ -107,29 +107,29 @@
     EXPECT_GT(rented_for(8, 60s), 0);
 }
 
-TEST(Renting, MachinesOnTheirWayAreCounted) {
+TEST(Autoscaler, MachinesOnTheirWayAreCounted) {
     Fleet f;
     f.add(f.spec("wk-1", 1, 4));
-    Renting r;
+    Autoscaler r;
     f.cluster->add_machine("n-1", "small", "a", false, f.now);
-    EXPECT_TRUE(r.plan(*f.cluster, f.now).rent.empty());
+    EXPECT_TRUE(r.plan(*f.cluster, f.now).scale_out.empty());
 }
 
-TEST(Renting, IdleMachinesGoBackAndBusyOnesStay) {
+TEST(Autoscaler, IdleMachinesAreReturnedAndBusyOnesStay) {
     Fleet f;
     f.up("n-1");
     f.up("n-2");
     f.add(f.spec("wk-1", 4));
     f.place_all();
-    Renting r;
-    EXPECT_TRUE(r.plan(*f.cluster, f.now).give_back.empty());
+    Autoscaler r;
+    EXPECT_TRUE(r.plan(*f.cluster, f.now).scale_in.empty());
     f.now += 120s;
     auto plan = r.plan(*f.cluster, f.now);
-    ASSERT_EQ(plan.give_back.size(), 1u);
-    EXPECT_TRUE(f.on(plan.give_back[0]).empty());
+    ASSERT_EQ(plan.scale_in.size(), 1u);
+    EXPECT_TRUE(f.on(plan.scale_in[0]).empty());
 }
 
-TEST(Renting, RoomIsKeptForArraysThatCannotWaitForABoot) {
+TEST(Autoscaler, RoomIsKeptForArraysThatCannotWaitForABoot) {
     // With 25 s from rental to boot, a start within 20 s needs room that is there already; one within 60 s
     // not.
     for (double within : {20.0, 60.0}) {
@@ -142,23 +142,23 @@
         f.add(f.spec("wk-1", 12));
         f.place_all();
         for (auto* name : {"n-1", "n-2", "n-3"}) f.run(name);
-        Renting r;
+        Autoscaler r;
         r.plan(*f.cluster, f.now);
         f.cluster->cancel(*f.cluster->find_job("wk-1"), f.now);
         f.now += 120s;
-        for (auto* name : {"n-1", "n-2", "n-3"}) f.cluster->on_report(f.report(name), true, f.now);
+        for (auto* name : {"n-1", "n-2", "n-3"}) f.cluster->on_heartbeat(f.heartbeat(name), true, f.now);
         f.write();
-        EXPECT_EQ(r.plan(*f.cluster, f.now).give_back.size(), within < 30 ? 0u : 3u);
+        EXPECT_EQ(r.plan(*f.cluster, f.now).scale_in.size(), within < 30 ? 0u : 3u);
         f.now += 10min;
-        for (auto* name : {"n-1", "n-2", "n-3"}) f.cluster->on_report(f.report(name), true, f.now);
-        EXPECT_EQ(r.plan(*f.cluster, f.now).give_back.size(), 3u) << "not for ever";
+        for (auto* name : {"n-1", "n-2", "n-3"}) f.cluster->on_heartbeat(f.heartbeat(name), true, f.now);
+        EXPECT_EQ(r.plan(*f.cluster, f.now).scale_in.size(), 3u) << "not for ever";
     }
 }
 
-TEST(Renting, AMachineThatNeverComesUpIsReplaced) {
+TEST(Autoscaler, AMachineThatNeverComesUpIsReplaced) {
     Fleet f;
     f.cluster->add_machine("n-1", "small", "a", false, f.now);
-    Renting r;
+    Autoscaler r;
     EXPECT_TRUE(r.plan(*f.cluster, f.now + 30s).give_back.empty());
     EXPECT_EQ(r.plan(*f.cluster, f.now + 200s).give_back, std::vector<std::string>{"n-1"});
 }
@@ -168,42 +168,42 @@
 void two_half_empty(Fleet& f) {
     for (auto name : {"n-1", "n-2"}) {
         auto s = f.spec(name == std::string("n-1") ? "wk-1" : "wk-2");
-        s.sort = wire::Sort::service;
+        s.kind = wire::JobKind::service;
         f.add(s);
         f.up(name).use_image("img", 1);
         f.place_all();
         f.run(name);
-        f.machine(name).drain = true;  // so that the other gets the second
+        f.machine(name).draining = true;  // so that the other gets the second
     }
     f.now += 200s;
     for (auto name : {"n-1", "n-2"}) {
-        f.machine(name).drain = false;
+        f.machine(name).draining = false;
         std::vector<TaskStatus> tasks;
         for (auto& a : f.on(name)) tasks.push_back({a, TaskState::running, Cause::none, false});
-        f.cluster->on_report(f.report(name, tasks), true, f.now);
+        f.cluster->on_heartbeat(f.heartbeat(name, tasks), true, f.now);
     }
 }
 }  // namespace
 
 // Replicas outlast the bustle that spread them out: half-empty machines cost money for nothing.
-TEST(Renting, AMachineWhoseReplicasHaveRoomElsewhereIsEmptied) {
+TEST(Autoscaler, AMachineWhoseReplicasHaveRoomElsewhereIsDrained) {
     placement::Rules rules;
     rules.teams["crew"] = {};
     rules.headroom_min = rules.headroom_max = 0;
     Fleet f(rules);
     two_half_empty(f);
-    Renting r;
+    Autoscaler r;
     EXPECT_FALSE(r.plan(*f.cluster, f.now).empty.empty());
     f.machine("n-1").images.clear();
     f.machine("n-2").images.clear();
     EXPECT_TRUE(r.plan(*f.cluster, f.now).empty.empty()) << "a fetch would be an outage";
 }
 
-TEST(Renting, RoomKeptForNewServicesIsNotGivenUp) {
+TEST(Autoscaler, RoomKeptForNewServicesIsNotGivenUp) {
     placement::Rules rules;
     rules.teams["crew"] = {};
     rules.headroom_min = rules.headroom_max = 3;
     Fleet f(rules);
     two_half_empty(f);
-    EXPECT_TRUE(Renting().plan(*f.cluster, f.now).empty.empty());
+    EXPECT_TRUE(Autoscaler().plan(*f.cluster, f.now).empty.empty());
 }
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -4,8 +4,8 @@
 
 using namespace barrowrun;
 using namespace barrowrun::testing;
+using wire::JobKind;
 using wire::Priority;
-using wire::Sort;
 
 TEST(Placement, OldestOfTheHighestLevelFirstAndMisfitsArePassed) {
     Fleet f;
@@ -50,7 +50,7 @@
     f.place_all();
     EXPECT_TRUE(f.on("n-2").empty());
     auto& m = f.machine("n-1");
-    EXPECT_GT(m.lease_end(20, f.cluster->acquired()), f.now + 10s) << "lease, drift and timer steps";
+    EXPECT_GT(m.lease_expiry(20, f.cluster->acquired()), f.now + 10s) << "lease, drift and timer steps";
     f.cluster->lease_over(m, f.now);
     f.place_all();
     EXPECT_EQ(f.on("n-2").size(), 1u);
@@ -78,15 +78,16 @@
     record.name = "n-1";
     record.address = "127.0.0.1:9", record.type = "small", record.zone = "a";
     record.attempts = {{{"wk-1", 0}, 7}, {{"wk-1", 1}, 8}};
-    f.cluster->inherit(0, record, f.now, f.wall);
+    f.cluster->recover_machine(0, record, f.now, f.wall);
     f.up("n-2");
     f.place_all();
     EXPECT_TRUE(f.on("n-2").empty());
     // A report made before the worker saw the new token proves nothing about the old leader's pushes.
-    f.cluster->on_report(f.report("n-1", {}, 49), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {}, 49), true, f.now);
     EXPECT_EQ(job.places.size(), 2u);
     Attempt zero{{"wk-1", 0}, 7};
-    f.cluster->on_report(f.report("n-1", {{zero, TaskState::running, Cause::none, false}}, 50), false, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {{zero, TaskState::running, Cause::none, false}}, 50), false,
+                            f.now);
     EXPECT_EQ(job.places.size(), 1u);
     EXPECT_TRUE(job.waiting.contains(1));
     // Attempt numbers of different leaders never meet.
@@ -99,7 +100,8 @@
 TEST(Takeover, TasksReportedBeforeTheirJobIsKnownAreNotStartedAgain) {
     Fleet f;
     Attempt zero{{"wk-1", 0}, 7};
-    f.cluster->on_report(f.report("n-1", {{zero, TaskState::running, Cause::none, false}}), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {{zero, TaskState::running, Cause::none, false}}), true,
+                            f.now);
     f.up("n-2");
     auto& job = f.add(f.spec("wk-1", 2));
     f.place_all();
@@ -115,8 +117,8 @@
     state::MachineRecord record;
     record.name = "n-1";
     record.attempts = {{{"wk-1", 0}, 7}};
-    f.cluster->inherit(0, record, f.now, f.wall);
-    EXPECT_GE(f.machine("n-1").lease_end(20, f.cluster->acquired()), f.now + 20s);
+    f.cluster->recover_machine(0, record, f.now, f.wall);
+    EXPECT_GE(f.machine("n-1").lease_expiry(20, f.cluster->acquired()), f.now + 20s);
 }
 
 // Others may read a record that was sent from the moment on which it was sent, and without an answer for
@@ -143,7 +145,7 @@
     EXPECT_TRUE(job.unsettled()) << "the one before still may have been";
     f.write();
     EXPECT_FALSE(job.unsettled());
-    EXPECT_EQ(job.standing(), wire::Standing::cancelled);
+    EXPECT_EQ(job.job_state(), wire::JobState::cancelled);
 }
 
 TEST(Finish, ResultsAreOnRecordBeforeTheyAreToldOrReaped) {
@@ -153,14 +155,14 @@
     f.place_all();
     f.run("n-1");
     auto a = f.on("n-1").at(0);
-    f.cluster->on_report(f.report("n-1", {{a, TaskState::exited, Cause::done, false}}), true, f.now);
-    EXPECT_EQ(job.standing(), wire::Standing::queued);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {{a, TaskState::exited, Cause::done, false}}), true, f.now);
+    EXPECT_EQ(job.job_state(), wire::JobState::queued);
     EXPECT_TRUE(f.cluster->reply_commands(f.machine("n-1"), f.now).empty());
     auto writes = f.write();
     ASSERT_GE(writes.size(), 2u);
     EXPECT_EQ(writes[0].key, "past/wk-1");
     EXPECT_FALSE(f.cluster->find_job("wk-1"));
-    EXPECT_EQ(f.cluster->past("wk-1")->standing, wire::Standing::done);
+    EXPECT_EQ(f.cluster->past("wk-1")->state, wire::JobState::done);
     auto commands = f.cluster->reply_commands(f.machine("n-1"), f.now);
     ASSERT_EQ(commands.size(), 1u);
     EXPECT_EQ(commands[0].verb, Verb::reap);
@@ -182,7 +184,7 @@
         tasks.push_back(
             {a, ends ? TaskState::exited : TaskState::running, ends ? Cause::done : Cause::none, false});
     }
-    f.cluster->on_report(f.report("n-1", tasks), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", tasks), true, f.now);
     f.cluster->cancel(cancelled, f.now);
     EXPECT_EQ(half.done.size(), 1u);
     EXPECT_TRUE(whole.finished());
@@ -204,12 +206,12 @@
     auto& job = f.add(f.spec("wk-1", 2));
     f.cluster->round(f.now);
     f.cluster->cancel(job, f.now);
-    EXPECT_NE(job.standing(), wire::Standing::cancelled) << "not before it is on record";
+    EXPECT_NE(job.job_state(), wire::JobState::cancelled) << "not before it is on record";
     f.write();
-    EXPECT_EQ(job.standing(), wire::Standing::cancelled);
+    EXPECT_EQ(job.job_state(), wire::JobState::cancelled);
     for (auto& c : f.cluster->push_commands(f.machine("n-1"), f.now)) EXPECT_NE(c.verb, Verb::launch);
     f.write();
-    EXPECT_EQ(f.cluster->past("wk-1")->standing, wire::Standing::cancelled);
+    EXPECT_EQ(f.cluster->past("wk-1")->state, wire::JobState::cancelled);
 }
 
 TEST(Cancel, AgainstALaunchInFlightAndAgainstDone) {
@@ -221,22 +223,22 @@
     f.cluster->cancel(job, f.now);
     f.cluster->push_answered(f.machine("n-1"), sent, 10, true, false, f.now);
     auto a = sent.at(0).attempt;
-    f.cluster->on_report(f.report("n-1", {{a, TaskState::running, Cause::none, false}}), false, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {{a, TaskState::running, Cause::none, false}}), false, f.now);
     auto commands = f.cluster->push_commands(f.machine("n-1"), f.now);
     ASSERT_EQ(commands.size(), 1u);
     EXPECT_EQ(commands[0].verb, Verb::kill);
     EXPECT_EQ(commands[0].grace_s, 0);
     // It may complete before the kill arrives: the job stays cancelled.
-    f.cluster->on_report(f.report("n-1", {{a, TaskState::exited, Cause::done, false}}), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {{a, TaskState::exited, Cause::done, false}}), true, f.now);
     f.write();
     f.write();
-    EXPECT_EQ(f.cluster->past("wk-1")->standing, wire::Standing::cancelled);
+    EXPECT_EQ(f.cluster->past("wk-1")->state, wire::JobState::cancelled);
 }
 
 TEST(Cancel, TasksOfNoKnownJobAreStopped) {
     Fleet f;
     Attempt a{{"wk-9", 0}, 3};
-    f.cluster->on_report(f.report("n-1", {{a, TaskState::running, Cause::none, false}}), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {{a, TaskState::running, Cause::none, false}}), true, f.now);
     auto commands = f.cluster->reply_commands(f.machine("n-1"), f.now);
     ASSERT_EQ(commands.size(), 1u);
     EXPECT_EQ(commands[0].verb, Verb::kill);
@@ -246,7 +248,7 @@
     Fleet f;
     auto s = f.spec("wk-1", 3);
     s.spread = true;
-    s.sort = Sort::service;
+    s.kind = JobKind::service;
     auto& job = f.add(s);
     f.up("n-1", "a");
     f.place_all();
@@ -277,7 +279,7 @@
     auto& job = f.add(f.spec("wk-1", 8));
     f.place_all();
     EXPECT_EQ(job.places.size(), 3u);
-    f.machine("n-1").suspect = true;  // silent, but what it ran may go on
+    f.machine("n-1").suspected = true;  // silent, but what it ran may go on
     f.up("n-2");
     f.place_all();
     EXPECT_TRUE(f.on("n-2").empty());
@@ -299,7 +301,7 @@
 TEST(Gang, AllOrNoneAndAgainOnlyWhenAllAreGone) {
     Fleet f;
     auto s = f.spec("wk-1", 3, 2);
-    s.sort = Sort::gang;
+    s.kind = JobKind::gang;
     auto& job = f.add(s);
     f.up("n-1");
     f.place_all();
@@ -321,7 +323,7 @@
     EXPECT_TRUE(f.on("n-3").empty());
     auto kills = f.cluster->push_commands(f.machine(rest), f.now);
     EXPECT_EQ(kills.size(), 2u);
-    f.cluster->on_report(f.report(rest), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat(rest), true, f.now);
     f.place_all();
     EXPECT_EQ(job.places.size(), 3u);
 }
@@ -338,7 +340,7 @@
     f.place_all();
     EXPECT_TRUE(f.cluster->push_commands(f.machine("n-1"), f.now).empty());
     auto service = f.spec("wk-3");
-    service.sort = Sort::service;
+    service.kind = JobKind::service;
     service.priority = Priority::production;
     f.add(service);
     f.place_all();
@@ -348,7 +350,7 @@
     // While the room is being made, no further victim is picked.
     f.place_all();
     int stopped = 0;
-    for (auto& [a, e] : f.machine("n-1").entries) stopped += e.stop;
+    for (auto& [a, e] : f.machine("n-1").assignments) stopped += e.stop_requested;
     EXPECT_EQ(stopped, 1);
 }
 
@@ -359,16 +361,16 @@
     TimePoint last_retry{};
     for (int i = 0; i < 4; ++i) {
         f.now = std::max(f.now, job.retry_at);
-        f.cluster->on_report(f.report("n-1"), true, f.now);
+        f.cluster->on_heartbeat(f.heartbeat("n-1"), true, f.now);
         f.place_all();
         auto list = f.on("n-1");
         ASSERT_EQ(list.size(), 1u) << i;
         f.run("n-1");
-        f.cluster->on_report(f.report("n-1", {{list[0], TaskState::exited, Cause::error, false}}), true,
-                             f.now);
+        f.cluster->on_heartbeat(f.heartbeat("n-1", {{list[0], TaskState::exited, Cause::error, false}}), true,
+                                f.now);
         EXPECT_GT(job.retry_at - f.now, i > 0 ? last_retry - TimePoint{} : 0s);
         last_retry = TimePoint{} + (job.retry_at - f.now);
-        f.cluster->on_report(f.report("n-1"), true, f.now);
+        f.cluster->on_heartbeat(f.heartbeat("n-1"), true, f.now);
     }
 }
 
@@ -386,11 +388,11 @@
     for (auto& name : names) {
         sent += static_cast<int>(f.run(name).size());
         std::vector<TaskStatus> tasks;
-        for (auto& [a, e] : f.machine(name).entries) {
+        for (auto& [a, e] : f.machine(name).assignments) {
             if (e.exited()) continue;
-            bool fails = bad.contains(a.task.job) || (faulty.contains(name) && f.now - e.since < 5s);
-            bool ends =
-                f.cluster->find_job(a.task.job)->spec.sort == wire::Sort::array && f.now - e.since > 3s;
+            bool fails = bad.contains(a.task.job) || (faulty.contains(name) && f.now - e.placed_at < 5s);
+            bool ends = f.cluster->find_job(a.task.job)->spec.kind == wire::JobKind::array &&
+                        f.now - e.placed_at > 3s;
             if (fails) ++failures[a.task.job];
             tasks.push_back({a, fails || ends ? TaskState::exited : TaskState::running,
                              fails  ? Cause::error
@@ -398,9 +400,9 @@
                                     : Cause::none,
                              false});
         }
-        f.cluster->on_report(f.report(name, tasks), true, f.now);
+        f.cluster->on_heartbeat(f.heartbeat(name, tasks), true, f.now);
         std::erase_if(tasks, [](auto& t) { return t.state == TaskState::exited; });  // these are reaped
-        f.cluster->on_report(f.report(name, tasks), true, f.now);
+        f.cluster->on_heartbeat(f.heartbeat(name, tasks), true, f.now);
     }
     f.cluster->tick(f.now);
     return sent;
@@ -433,7 +435,7 @@
             EXPECT_LE(failures["wk-9"], 200) << "ten tasks a try, tries up to 30 s apart";
             std::size_t given_up = 0;
             for (auto& [name, m] : f.cluster->machines())
-                if (m->faulty && !faulty.contains(name)) ++given_up;
+                if (m->quarantined_since && !faulty.contains(name)) ++given_up;
             EXPECT_LE(given_up, 3u) << "a faulty job does not cost the fleet";
         }
 }
@@ -447,7 +449,7 @@
     for (int i = 0; i < 3; ++i) step(f, {}, {"wk-1"}, random, failures);
     ASSERT_GE(failures["wk-1"], 3);
     auto service = f.spec("wk-2", 3);
-    service.sort = wire::Sort::service;
+    service.kind = wire::JobKind::service;
     service.priority = Priority::production;
     auto& job = f.add(service);
     f.place_all();
@@ -464,9 +466,9 @@
     f.add(s);
     f.place_all();
     f.run("n-1");
-    auto r = f.report("n-1", {{f.on("n-1").at(0), TaskState::running, Cause::none, false}});
+    auto r = f.heartbeat("n-1", {{f.on("n-1").at(0), TaskState::running, Cause::none, false}});
     r.notice_s = 12;
-    f.cluster->on_report(r, true, f.now);
+    f.cluster->on_heartbeat(r, true, f.now);
     f.cluster->tick(f.now);
     auto commands = f.cluster->push_commands(f.machine("n-1"), f.now);
     ASSERT_EQ(commands.size(), 1u);
@@ -501,7 +503,7 @@
     auto s = f.spec("wk-2");
     s.job_class = "web";
     s.image = "web-img";
-    s.sort = Sort::service;
+    s.kind = JobKind::service;
     s.priority = Priority::production;
     f.add(s);
     f.place_all();
@@ -529,7 +531,7 @@
         f.run("n-1");
         auto s = f.spec("wk-2");
         s.job_class = "web";
-        s.sort = Sort::service;
+        s.kind = JobKind::service;
         s.priority = Priority::production;
         f.add(s);
         f.place_all();
--- a/tests/cuts_test.cpp
+++ b/tests/cuts_test.cpp
@@ -1,6 +1,7 @@
 // Whole histories of placement: zones that are cut off with messages held, workers whose leases run out and
-// begin new sessions, machines that boot late, leaders that end between any two writes. The checker sees what
-// is really on every machine, and compares what the index of rooms finds with a plain walk over all machines.
+// begin new agent epochs, machines that boot late, leaders that end between any two writes. The checker sees
+// what is really on every machine, and compares what the index of rooms finds with a plain walk over all
+// machines.
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 
@@ -11,8 +12,8 @@
 
 using namespace barrowrun;
 using namespace barrowrun::testing;
+using wire::JobKind;
 using wire::Priority;
-using wire::Sort;
 
 namespace {
 
@@ -22,13 +23,13 @@
     const auto& s = job.spec;
     for (auto& [name, mp] : cluster.machines()) {
         Machine& m = *mp;
-        auto room = m.room();
+        auto room = m.available();
         room -= m.reserved;
         if (!s.need.fits(room) || !cluster.usable(m, now) || !cluster.allowed(s, m)) continue;
         double fetch_s = m.has_image(s.image)  ? 0
                          : m.fetching(s.image) ? 0.5 * s.image_gb / m.fetch_gb_per_s
                                                : s.image_gb / m.fetch_gb_per_s;
-        double score = -fetch_s * (s.sort == Sort::service ? 10.0 : 1.0);
+        double score = -fetch_s * (s.kind == JobKind::service ? 10.0 : 1.0);
         if (s.spot_ok && m.spot) score += 8;
         if (job.failed_on.contains(name)) score -= 1000;
         score -= m.errors * 20.0 + (m.slowness - 1.0) * 30.0;
@@ -53,7 +54,7 @@
     struct Worker {
         std::string zone;
         double clock = 1;  // how fast its steady clock runs
-        std::uint64_t session = 1, seq = 0, fencing_token = 0;
+        std::uint64_t agent_epoch = 1, seq = 0, fencing_token = 0;
         TimePoint renewed{};
         std::map<Attempt, std::pair<TaskState, Cause>> tasks;
     };
@@ -62,9 +63,9 @@
     // Messages that a cut holds back: pushes to the workers, reports to whoever leads by then.
     struct Held {
         std::string machine;
-        std::uint64_t fencing_token, session;
+        std::uint64_t fencing_token, agent_epoch;
         std::vector<Command> commands;
-        std::optional<Report> report;
+        std::optional<WorkerHeartbeat> heartbeat;
     };
     std::vector<Held> held, late;
     // A node in zone b. It loses the leader with the zone, or when no leader is there; its signs of life may
@@ -77,7 +78,7 @@
     std::size_t kept = 0;
     std::map<std::string, wire::JobSpec> jobs;
     int ids = 0, names = 0;
-    std::size_t starts = 0, sessions = 0, takeovers = 0, leases_over = 0;
+    std::size_t starts = 0, agent_epochs = 0, takeovers = 0, leases_over = 0;
     std::string broken;
 
     explicit CutWorld(std::uint64_t seed) : random(seed) {
@@ -88,7 +89,7 @@
         lead();
         for (int i = 0; i < 4; ++i) boot(i % 2 ? "b" : "a", now);
         advance(0s);
-        for (auto& [name, w] : workers) hello(name);
+        for (auto& [name, w] : workers) send_heartbeat(name);
     }
     std::uint64_t pick(std::uint64_t n) { return random() % n; }
     bool cut(const Worker& w) const { return w.zone == "b" && now < cut_until; }
@@ -130,7 +131,7 @@
             if (booting.contains(name)) continue;
             while (Seconds(now - w.renewed).count() * w.clock > lease_s) {
                 w.renewed += secs(lease_s / w.clock);
-                w.session++, sessions++;
+                w.agent_epoch++, agent_epochs++;
                 w.tasks.clear();
             }
         }
@@ -161,7 +162,7 @@
     // Cut off with its zone, the node answers its workers by itself as far as it may.
     void keep_lease(const std::string& name) {
         Worker& w = workers[name];
-        if (booting.contains(name) || !cut(w) || !node->may_renew_cut_off(report(name), now, true)) return;
+        if (booting.contains(name) || !cut(w) || !node->may_renew_cut_off(heartbeat(name), now, true)) return;
         if (node->fencing_token() < w.fencing_token) return;  // dropped
         w.fencing_token = node->fencing_token();
         w.renewed = now;
@@ -170,29 +171,29 @@
     void deliver(Held& h) {
         auto w = workers.find(h.machine);
         if (w == workers.end()) return;
-        if (h.report) {
+        if (h.heartbeat) {
             // Its sender has given up: the answer reaches nobody.
-            if (cluster->on_report(*h.report, true, now)) {
+            if (cluster->on_heartbeat(*h.heartbeat, true, now)) {
                 auto* m = cluster->find_machine(h.machine);
                 cluster->reply_commands(*m, now);
                 m->last_answer = now;
             }
         } else {
-            execute(h.machine, h.fencing_token, h.session, h.commands);
+            execute(h.machine, h.fencing_token, h.agent_epoch, h.commands);
         }
     }
-    Report report(const std::string& name) {
+    WorkerHeartbeat heartbeat(const std::string& name) {
         Worker& w = workers[name];
-        Report r;
+        WorkerHeartbeat r;
         r.machine = name, r.address = "127.0.0.1:9", r.type = "small", r.zone = w.zone;
-        r.session = w.session, r.seq = ++w.seq, r.fencing_token = w.fencing_token;
+        r.agent_epoch = w.agent_epoch, r.seq = ++w.seq, r.fencing_token = w.fencing_token;
         for (auto& [a, s] : w.tasks) r.tasks.push_back({a, s.first, s.second, false});
         return r;
     }
-    bool execute(const std::string& name, std::uint64_t under, std::uint64_t session,
+    bool execute(const std::string& name, std::uint64_t under, std::uint64_t agent_epoch,
                  const std::vector<Command>& commands) {
         Worker& w = workers[name];
-        if (under < w.fencing_token || session != w.session) return false;
+        if (under < w.fencing_token || agent_epoch != w.agent_epoch) return false;
         w.fencing_token = under;
         for (auto& c : commands) {
             auto it = w.tasks.find(c.attempt);
@@ -228,23 +229,23 @@
         w.tasks[a] = {TaskState::running, Cause::none};
         ++starts;
     }
-    void hello(const std::string& name) {
+    void send_heartbeat(const std::string& name) {
         Worker& w = workers[name];
         if (booting.contains(name)) return;
         if (cut(w) && pick(3)) return keep_lease(name);
-        auto r = report(name);
+        auto r = heartbeat(name);
         if (cut(w)) {
             held.push_back({name, 0, 0, {}, r});
             return;
         }
         if (pick(8) == 0) return;  // lost
         auto sent = now;
-        if (!cluster->on_report(r, true, now)) return;
+        if (!cluster->on_heartbeat(r, true, now)) return;
         auto* m = cluster->find_machine(name);
         m->last_answer = now;
         auto commands = cluster->reply_commands(*m, now);
         if (pick(8) == 0) return;  // the answer is lost, or comes after four seconds
-        if (execute(name, fencing_token, w.session, commands)) w.renewed = sent;
+        if (execute(name, fencing_token, w.agent_epoch, commands)) w.renewed = sent;
     }
     void push(const std::string& name) {
         auto* m = cluster->find_machine(name);
@@ -255,18 +256,18 @@
         if (booting.contains(name))
             return cluster->push_answered(*m, commands, fencing_token, false, false, now);
         if (cut(w)) {
-            held.push_back({name, fencing_token, m->session, commands, {}});
+            held.push_back({name, fencing_token, m->agent_epoch, commands, {}});
             return cluster->push_answered(*m, commands, fencing_token, false, true, now);
         }
         auto how = pick(8);
         if (how == 0) {  // late, or lost: nobody can tell
-            if (pick(2)) late.push_back({name, fencing_token, m->session, commands, {}});
+            if (pick(2)) late.push_back({name, fencing_token, m->agent_epoch, commands, {}});
             return cluster->push_answered(*m, commands, fencing_token, false, true, now);
         }
-        bool ok = execute(name, fencing_token, m->session, commands);
+        bool ok = execute(name, fencing_token, m->agent_epoch, commands);
         if (how == 1) return cluster->push_answered(*m, commands, fencing_token, false, true, now);
         cluster->push_answered(*m, commands, fencing_token, ok, false, now);
-        cluster->on_report(report(name), false, now);
+        cluster->on_heartbeat(heartbeat(name), false, now);
     }
     void write(bool crash) {
         for (;;) {
@@ -296,8 +297,8 @@
                 s.tasks = static_cast<std::uint32_t>(1 + pick(5));
                 s.need = {static_cast<double>(1 + pick(2)), 0, 1};
                 s.priority = static_cast<Priority>(pick(4));
-                if (pick(4) == 0) s.sort = Sort::gang, s.tasks = 2, s.one_zone = pick(2);
-                if (s.sort != Sort::gang && pick(3) == 0) s.sort = Sort::service, s.spread = pick(2);
+                if (pick(4) == 0) s.kind = JobKind::gang, s.tasks = 2, s.one_zone = pick(2);
+                if (s.kind != JobKind::gang && pick(3) == 0) s.kind = JobKind::service, s.spread = pick(2);
                 if (pick(2)) s.checkpoint_s = 5, s.save_s = 1;
                 jobs[s.id] = s;
                 state::JobRecord record{s, wall++};
@@ -321,12 +322,12 @@
             case 9: {
                 auto name = any();
                 for (auto& [a, s] : workers[name].tasks)
-                    if (s.first == TaskState::running && jobs[a.task.job].sort == Sort::array &&
+                    if (s.first == TaskState::running && jobs[a.task.job].kind == JobKind::array &&
                         pick(4) == 0) {
                         s = {TaskState::exited, pick(6) ? Cause::done : Cause::error};
                         break;
                     }
-                hello(name);
+                send_heartbeat(name);
                 break;
             }
             case 10:
@@ -363,9 +364,9 @@
                         if (pick(2)) keep_lease(name);
                 if (pick(40) == 0) node = std::make_unique<leases::LeaseRenewer>("b", keep, now);
                 std::size_t live = 0, after = 0;
-                for (auto& [name, m] : cluster->machines()) live += m->entries.size();
+                for (auto& [name, m] : cluster->machines()) live += m->assignments.size();
                 cluster->tick(now, [&](const std::string& zone) { return bound->latest_renewal(zone, now); });
-                for (auto& [name, m] : cluster->machines()) after += m->entries.size();
+                for (auto& [name, m] : cluster->machines()) after += m->assignments.size();
                 leases_over += after < live;
                 break;
             }
@@ -394,7 +395,7 @@
             if (m->refile) continue;  // to be brought up to date by the next look
             auto& filed = cluster->rooms().filed(*m).tally;
             auto plain = placement::tally(*m);
-            if (std::abs(filed.free.cpus - m->room().cpus) > 1e-6 || filed.stops != plain.stops ||
+            if (std::abs(filed.free.cpus - m->available().cpus) > 1e-6 || filed.stops != plain.stops ||
                 filed.lower != plain.lower)
                 return name + " is filed wrongly";
             for (int level = 0; level < wire::priority_levels; ++level)
@@ -407,8 +408,8 @@
 
 }  // namespace
 
-// With leases counted from the last answered report alone, these histories start tasks twice: a session that
-// is first heard of by a push was taken for over while its worker had its whole lease left.
+// With leases counted from the last answered heartbeat alone, these histories start tasks twice: a session
+// that is first heard of by a push was taken for over while its worker had its whole lease left.
 TEST(CutHistories, NothingStartsTwiceWhateverIsCutOffHeldOrTakenOver) {
     struct Quiet {
         spdlog::level::level_enum was = spdlog::get_level();
@@ -420,7 +421,7 @@
 #else
     constexpr std::uint64_t histories = 12'000;
 #endif
-    std::size_t starts = 0, sessions = 0, takeovers = 0, leases = 0, kept = 0;
+    std::size_t starts = 0, agent_epochs = 0, takeovers = 0, leases = 0, kept = 0;
     for (std::uint64_t seed = 1; seed <= histories; ++seed) {
         CutWorld w(seed);
         for (int step = 0; step < 200; ++step) {
@@ -428,16 +429,17 @@
             auto wrong = w.wrong();
             ASSERT_EQ(wrong, "") << "seed " << seed << ", step " << step;
         }
-        starts += w.starts, sessions += w.sessions, takeovers += w.takeovers, leases += w.leases_over;
+        starts += w.starts, agent_epochs += w.agent_epochs, takeovers += w.takeovers, leases += w.leases_over;
         kept += w.kept;
     }
     EXPECT_GT(starts, 5 * histories);
-    EXPECT_GT(sessions, histories);
+    EXPECT_GT(agent_epochs, histories);
     EXPECT_GT(takeovers, histories);
     EXPECT_GT(leases, histories / 20);
     EXPECT_GT(kept, histories);
     std::printf(
-        "%llu histories: %zu starts, %zu new sessions, %zu takeovers, %zu leases that ran out, %zu answers "
+        "%llu histories: %zu starts, %zu new agent epochs, %zu takeovers, %zu leases that ran out, %zu "
+        "answers "
         "of a node that was cut off\n",
-        static_cast<unsigned long long>(histories), starts, sessions, takeovers, leases, kept);
+        static_cast<unsigned long long>(histories), starts, agent_epochs, takeovers, leases, kept);
 }
--- a/tests/driver_test.cpp
+++ b/tests/driver_test.cpp
@@ -42,7 +42,7 @@
 
 struct Site : client::JobService {
     std::vector<std::string> submitted, cancelled;
-    std::map<std::string, wire::Standing> jobs;
+    std::map<std::string, wire::JobState> jobs;
     std::function<void(const std::string& job)> on_submit;
     bool silent = false, loses_submissions = false;
     Outcome known(const std::string& id) {
@@ -50,13 +50,13 @@
         if (silent) return o;
         auto it = jobs.find(id);
         o.answer = it == jobs.end() ? Answer::unknown : Answer::accepted;
-        if (it != jobs.end()) o.status.standing = it->second;
+        if (it != jobs.end()) o.status.state = it->second;
         return o;
     }
     Task<Outcome> submit(wire::JobSpec spec) override {
         submitted.push_back(spec.id);
         co_await net::sleep_for(1ms);
-        if (!loses_submissions) jobs.emplace(spec.id, wire::Standing::running);
+        if (!loses_submissions) jobs.emplace(spec.id, wire::JobState::running);
         if (on_submit) on_submit(spec.id);
         Outcome o = known(spec.id);
         if (loses_submissions) o.answer = Answer::accepted;
@@ -65,7 +65,7 @@
     }
     Task<Outcome> cancel(std::string id) override {
         cancelled.push_back(id);
-        jobs[id] = wire::Standing::cancelled;
+        jobs[id] = wire::JobState::cancelled;
         co_return known(id);
     }
     Task<Outcome> status(std::string id) override { co_return known(id); }
@@ -89,7 +89,7 @@
             f.outputs.push_back({shared.str("staged/" + job + o), dir.str(o), "", 0});
         }
         if (depot.decide({job, 0}, f)) depot.settle({job, 0}, f);
-        site.jobs[job] = wire::Standing::done;
+        site.jobs[job] = wire::JobState::done;
     }
     // Drives until the flow is over, or for the time given, as if killed then.
     std::optional<FlowState> drive(Clock::duration most = 10s) {
@@ -186,7 +186,7 @@
         r.machine = "n-7";
         r.attempt = 5;
         p.depot.keep_result({{j, 0}, 5}, r);
-        p.site.jobs[j] = wire::Standing::failed;
+        p.site.jobs[j] = wire::JobState::failed;
     };
     EXPECT_EQ(p.drive(), FlowState::failed);
     EXPECT_EQ(p.said, Play::Names{"a failed: exit status 3"});
@@ -198,7 +198,7 @@
     Play p;
     p.site.on_submit = [&](auto& job) {
         p.publish(job);
-        p.site.jobs[job] = wire::Standing::failed;  // another attempt failed last
+        p.site.jobs[job] = wire::JobState::failed;  // another attempt failed last
     };
     EXPECT_EQ(p.drive(), FlowState::done);
 }
--- a/tests/fuzz/untrusted.cpp
+++ b/tests/fuzz/untrusted.cpp
@@ -41,18 +41,18 @@
     if (!body) return 0;
     // What is read is written back as the same.
     if (auto commands = wire::parse_commands(*body)) {
-        auto again = wire::parse_commands(wire::report_answer(1, *commands));
+        auto again = wire::parse_commands(wire::worker_heartbeat_answer(1, *commands));
         if (!again || again->size() != commands->size()) std::abort();
     }
-    if (auto report = wire::parse_report(*body))
-        if (!wire::parse_report(wire::report_json(*report))) std::abort();
+    if (auto heartbeat = wire::parse_worker_heartbeat(*body))
+        if (!wire::parse_worker_heartbeat(wire::worker_heartbeat_json(*heartbeat))) std::abort();
     auto job = wire::parse_submission(*body);
     if (auto* spec = std::get_if<wire::JobSpec>(&job))
         if (!std::holds_alternative<wire::JobSpec>(wire::parse_submission(wire::submission_json(*spec))))
             std::abort();
     if (auto status = wire::parse_status(*body))
         if (!wire::parse_status(wire::status_json(*status))) std::abort();
-    wire::parse_rent(*body);
+    wire::parse_provisioning_request(*body);
     wire::parse_machine_list(*body);
     if (auto p = state::parse_progress(*body, 50))
         if (!state::parse_progress(state::to_json(*p, 50), 50)) std::abort();
@@ -81,7 +81,7 @@
     reads_again<cells::parse_held>(*body);
     cells::parse_over(*body);
     state::parse_past(*body);
-    state::parse_sheet(*body);
+    state::parse_assignment_shard(*body);
     try {
         depot::parse_description(*body);
     } catch (const std::exception&) {
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -114,10 +114,10 @@
     golden.document("keys", {{"job", state::job_key("wk-1")},
                              {"progress of a job", state::progress_key("wk-1")},
                              {"finished job", state::past_key("wk-1")},
-                             {"machines 0", state::sheet_key(0)},
-                             {"machines 12", state::sheet_key(12)},
-                             {"machines 1234567", state::sheet_key(1'234'567)},
-                             {"rental of unknown outcome", state::hire_key("r-1")},
+                             {"machines 0", state::assignment_shard_key(0)},
+                             {"machines 12", state::assignment_shard_key(12)},
+                             {"machines 1234567", state::assignment_shard_key(1'234'567)},
+                             {"rental of unknown outcome", state::provisioning_key("r-1")},
                              {"leader", state::leader_key},
                              {"machine types", state::catalog_key},
                              {"quotas", quota::key_prefix},
@@ -125,8 +125,8 @@
                              {"part that is lent", cells::lent_key("wk-1")},
                              {"part that is held", cells::held_key("wk-1")},
                              {"part that is over", cells::turn_key("wk-1")}});
-    EXPECT_EQ(state::parse_sheet_key("sheets/000012"), 12u);
-    EXPECT_FALSE(state::parse_sheet_key("sheet/000012"));
+    EXPECT_EQ(state::parse_assignment_shard_key("sheets/000012"), 12u);
+    EXPECT_FALSE(state::parse_assignment_shard_key("sheet/000012"));
 }
 
 TEST(GoldenRecords, Jobs) {
@@ -163,18 +163,19 @@
     GoldenDirectory golden("past");
     auto rewrite = rewrite_by(state::parse_past, [](auto& value) { return to_json(value); });
     wire::ErrorCount errors{2, wire::Failure{"wk-1/7", "n-7", 12}};
-    golden.message_and_malformed("failed", to_json(state::PastRecord{wire::Standing::failed, 11, errors}),
+    golden.message_and_malformed("failed", to_json(state::PastRecord{wire::JobState::failed, 11, errors}),
                                  rewrite);
-    golden.message("done", to_json(state::PastRecord{wire::Standing::done, 12, {}}), rewrite);
-    golden.message("cancelled", to_json(state::PastRecord{wire::Standing::cancelled, 0, {}}), rewrite);
+    golden.message("done", to_json(state::PastRecord{wire::JobState::done, 12, {}}), rewrite);
+    golden.message("cancelled", to_json(state::PastRecord{wire::JobState::cancelled, 0, {}}), rewrite);
 }
 
 TEST(GoldenRecords, MachinesRentalsLeaderAndMachineTypes) {
     GoldenDirectory golden("cluster");
     golden.message_and_malformed("machines", machines_json(sample_machines()),
-                                 rewrite_by(state::parse_sheet, machines_json));
-    golden.message_and_malformed("rental-of-unknown-outcome", to_json(state::HireRecord{"g8", "a", true, 50}),
-                                 rewrite_by(state::parse_hire, [](auto& value) { return to_json(value); }));
+                                 rewrite_by(state::parse_assignment_shard, machines_json));
+    golden.message_and_malformed(
+        "rental-of-unknown-outcome", to_json(state::ProvisioningRecord{"g8", "a", true, 50}),
+        rewrite_by(state::parse_provisioning_record, [](auto& value) { return to_json(value); }));
     golden.message_and_malformed(
         "leader", to_json(state::LeaderRecord{"barrow-0", "i-1", 77, 41}),
         rewrite_by(state::parse_leader_record, [](auto& value) { return to_json(value); }));
--- a/tests/golden_wire_test.cpp
+++ b/tests/golden_wire_test.cpp
@@ -37,7 +37,7 @@
     return out;
 }
 
-wire::Report sample_report() {
+wire::WorkerHeartbeat sample_report() {
     return {"n-7", "10.0.0.1:9", "g8", "a", true, 41, 1007, 77, 12.5, sample_tasks()};
 }
 
@@ -47,28 +47,28 @@
             {wire::Verb::reap, {{"wk-20", 99'999}, 3}, 0.0}};
 }
 
-/// An answer to a worker's report, as the worker reads it.
+/// An answer to a worker's heartbeat, as the worker reads it.
 std::optional<Json> rewrite_report_answer(const Json& document) {
     auto fencing_token = wire::parse_fencing_token(document);
     auto commands = wire::parse_commands(document);
     if (!fencing_token || !commands) return std::nullopt;
-    return wire::report_answer(*fencing_token, *commands);
+    return wire::worker_heartbeat_answer(*fencing_token, *commands);
 }
 
 /// Commands that are pushed to a worker, as it reads them.
 std::optional<Json> rewrite_push(const Json& document) {
     auto fencing_token = wire::parse_fencing_token(document);
-    auto session = wire::parse_session(document);
+    auto agent_epoch = wire::parse_agent_epoch(document);
     auto commands = wire::parse_commands(document);
-    if (!fencing_token || !session || !commands) return std::nullopt;
-    return wire::push_body(*fencing_token, *session, *commands);
+    if (!fencing_token || !agent_epoch || !commands) return std::nullopt;
+    return wire::push_json(*fencing_token, *agent_epoch, *commands);
 }
 
 std::optional<Json> rewrite_rent(const Json& document) {
-    auto rent = wire::parse_rent(document);
+    auto rent = wire::parse_provisioning_request(document);
     if (!rent) return std::nullopt;
     auto& [request, type, zone, spot, count] = *rent;
-    return wire::rent_body(request, type, zone, spot, count);
+    return wire::provisioning_request_json(request, type, zone, spot, count);
 }
 
 wire::MachineList sample_machine_list() {
@@ -94,8 +94,8 @@
     GoldenDirectory golden("words");
     auto job = testing::job_with_no_optional_field();
     Json words = Json::object();
-    for (auto sort : {wire::Sort::array, wire::Sort::gang, wire::Sort::service}) {
-        job.sort = sort;
+    for (auto sort : {wire::JobKind::array, wire::JobKind::gang, wire::JobKind::service}) {
+        job.kind = sort;
         words["sort"].push_back(wire::submission_json(job).at("sort"));
     }
     for (auto priority :
@@ -112,15 +112,15 @@
     GoldenDirectory golden("answers");
     auto rewrite = rewrite_by(wire::parse_status, wire::status_json);
     wire::ErrorCount errors{2, wire::Failure{"wk-1/7", "n-7", large_number}};
-    golden.message_and_malformed("status", wire::status_json({"wk-1", wire::Standing::failed, 11, 2, errors}),
+    golden.message_and_malformed("status", wire::status_json({"wk-1", wire::JobState::failed, 11, 2, errors}),
                                  rewrite);
-    using wire::Standing;
+    using wire::JobState;
     Json statuses = Json::array(), accepted = Json::array();
     for (auto standing :
-         {Standing::queued, Standing::running, Standing::done, Standing::cancelled, Standing::failed}) {
+         {JobState::queued, JobState::running, JobState::done, JobState::cancelled, JobState::failed}) {
         auto status = wire::status_json({"wk-1", standing, 1, 2, {}});
         EXPECT_EQ(rewrite(status), status);
-        EXPECT_EQ(wire::standing_of(wire::standing_name(standing)), standing);
+        EXPECT_EQ(wire::parse_job_state(wire::job_state_name(standing)), standing);
         statuses.push_back(status);
         accepted.push_back(wire::accepted_json("wk-1", standing));
     }
@@ -133,14 +133,16 @@
 
 TEST(GoldenWire, Workers) {
     GoldenDirectory golden("workers");
-    auto rewrite = rewrite_by(wire::parse_report, wire::report_json);
-    golden.message_and_malformed("report", wire::report_json(sample_report()), rewrite);
+    auto rewrite = rewrite_by(wire::parse_worker_heartbeat, wire::worker_heartbeat_json);
+    golden.message_and_malformed("report", wire::worker_heartbeat_json(sample_report()), rewrite);
     golden.message("report-of-an-idle-machine",
-                   wire::report_json({"n-8", "10.0.0.2:9", "c4", "b", false, 1, 2, 0, {}, {}}), rewrite);
-    golden.message_and_malformed("report-answer", wire::report_answer(77, sample_commands()),
+                   wire::worker_heartbeat_json({"n-8", "10.0.0.2:9", "c4", "b", false, 1, 2, 0, {}, {}}),
+                   rewrite);
+    golden.message_and_malformed("report-answer", wire::worker_heartbeat_answer(77, sample_commands()),
                                  rewrite_report_answer);
-    golden.message("report-answer-without-commands", wire::report_answer(77, {}), rewrite_report_answer);
-    golden.message_and_malformed("push", wire::push_body(77, 41, sample_commands()), rewrite_push);
+    golden.message("report-answer-without-commands", wire::worker_heartbeat_answer(77, {}),
+                   rewrite_report_answer);
+    golden.message_and_malformed("push", wire::push_json(77, 41, sample_commands()), rewrite_push);
     golden.message_and_malformed("redirect", wire::redirect_answer("barrow-2"),
                                  rewrite_by(wire::parse_redirect, wire::redirect_answer));
     golden.document("redirect-without-a-leader", wire::redirect_answer(""));
@@ -152,11 +154,12 @@
                                  rewrite_by(wire::parse_types, wire::types_json));
     golden.message_and_malformed("machine-list", wire::machine_list_json(sample_machine_list()),
                                  rewrite_by(wire::parse_machine_list, wire::machine_list_json));
-    golden.message_and_malformed("rent", wire::rent_body("r-1", "g8", "a", true, 50), rewrite_rent);
+    golden.message_and_malformed("rent", wire::provisioning_request_json("r-1", "g8", "a", true, 50),
+                                 rewrite_rent);
     golden.message_and_malformed("rented", wire::machine_names_json({"n-7", "n-8"}),
                                  rewrite_by(wire::parse_machine_names, wire::machine_names_json));
-    golden.message("return", wire::return_body({"n-7", "n-8"}),
-                   rewrite_by(wire::parse_machine_names, wire::return_body));
+    golden.message("return", wire::return_request_json({"n-7", "n-8"}),
+                   rewrite_by(wire::parse_machine_names, wire::return_request_json));
     golden.text("list-target.txt", wire::list_target("", 500) + "\n" + wire::list_target("n-9", 20) + "\n");
 }
 
--- a/tests/guarantees_test.cpp
+++ b/tests/guarantees_test.cpp
@@ -10,8 +10,8 @@
 
 using namespace barrowrun;
 using namespace barrowrun::testing;
+using wire::JobKind;
 using wire::Priority;
-using wire::Sort;
 
 namespace {
 
@@ -41,7 +41,7 @@
     std::size_t stopping() {
         std::size_t n = 0;
         for (auto& [name, m] : cluster->machines())
-            for (auto& [a, e] : m->entries) n += e.stop && !e.exited();
+            for (auto& [a, e] : m->assignments) n += e.stop_requested && !e.exited();
         return n;
     }
     // What was told to stop has stopped, what was to start runs.
@@ -50,16 +50,16 @@
         for (auto& [name, m] : cluster->machines()) {
             auto commands = cluster->push_commands(*m, now);
             std::vector<TaskStatus> tasks;
-            for (auto& [a, e] : m->entries) {
-                if (e.stop)
+            for (auto& [a, e] : m->assignments) {
+                if (e.stop_requested)
                     tasks.push_back({a, TaskState::exited, Cause::stopped, false});
                 else
                     tasks.push_back({a, TaskState::running, Cause::none, false});
             }
             cluster->push_answered(*m, commands, cluster->fencing_token(), true, false, now);
-            cluster->on_report(report(name, tasks, cluster->fencing_token(), m->zone), false, now);
+            cluster->on_heartbeat(heartbeat(name, tasks, cluster->fencing_token(), m->zone), false, now);
             std::erase_if(tasks, [](auto& t) { return t.state == TaskState::exited; });
-            cluster->on_report(report(name, tasks, cluster->fencing_token(), m->zone), true, now);
+            cluster->on_heartbeat(heartbeat(name, tasks, cluster->fencing_token(), m->zone), true, now);
         }
     }
 };
@@ -119,12 +119,12 @@
     // One of the three is out. Its room fits a task of the borrower, who stands at a higher level.
     std::vector<TaskStatus> tasks;
     bool out = false;
-    for (auto& [a, e] : f.machine("n-1").entries) {
-        bool ends = e.stop && !std::exchange(out, out || e.stop);
+    for (auto& [a, e] : f.machine("n-1").assignments) {
+        bool ends = e.stop_requested && !std::exchange(out, out || e.stop_requested);
         tasks.push_back(
             {a, ends ? TaskState::exited : TaskState::running, ends ? Cause::stopped : Cause::none, false});
     }
-    f.cluster->on_report(f.report("n-1", tasks), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", tasks), true, f.now);
     f.place_all();
     EXPECT_EQ(f.used("desk"), 3);
     EXPECT_EQ(f.on("n-1").size(), 4u) << "with the ended one; nothing new";
@@ -138,7 +138,7 @@
     f.up("n-1");
     f.up("n-2");
     auto gang = f.of("wk-1", "desk", 2, Priority::production);
-    gang.sort = Sort::gang;
+    gang.kind = JobKind::gang;
     gang.need.cpus = 4;
     f.add(gang);
     f.place_all();
@@ -211,21 +211,21 @@
     EXPECT_EQ(f.stopping(), 0u) << "the others have until shrink_s";
     // The leader ends. Its successor reads the same record, and when it was written.
     auto changed = f.now;
-    std::vector<placement::Write> sheets;
+    std::vector<placement::Write> shards;
     f.cluster->mark_machine_dirty("n-1");
     f.cluster->mark_machine_dirty("n-2");
     std::vector<state::MachineRecord> records;
     for (auto& w : f.write())
-        if (state::parse_sheet_key(w.key)) {
-            auto sheet = state::parse_sheet(*w.value);
-            records.insert(records.end(), sheet->begin(), sheet->end());
+        if (state::parse_assignment_shard_key(w.key)) {
+            auto shard = state::parse_assignment_shard(*w.value);
+            records.insert(records.end(), shard->begin(), shard->end());
         }
     std::vector<wire::JobSpec> specs{saving, f.of("wk-2", "crew", 4, Priority::normal)};
     f.now += 20s;
     f.restart(20);
     for (auto& s : specs) f.add(s);
     f.cluster->set_quotas(tree, changed, 60);
-    for (auto& r : records) f.cluster->inherit(1, r, f.now, f.wall);
+    for (auto& r : records) f.cluster->recover_machine(1, r, f.now, f.wall);
     EXPECT_EQ(f.used("crew"), 4);
     f.cluster->tick(f.now);
     EXPECT_EQ(f.stopping(), 0u);
@@ -243,12 +243,12 @@
     f.place_all();
     f.settle();
     auto service = f.of("wk-2", "crew", 4, Priority::production);
-    service.sort = Sort::service;
+    service.kind = JobKind::service;
     f.add(service);
-    renting::Renting renting;
-    EXPECT_TRUE(renting.plan(*f.cluster, f.now).rent.empty());
+    autoscaler::Autoscaler autoscaler;
+    EXPECT_TRUE(autoscaler.plan(*f.cluster, f.now).scale_out.empty());
     f.cluster->set_quotas(build("", two_teams(0)), f.now, 60);
-    EXPECT_FALSE(renting.plan(*f.cluster, f.now).rent.empty());
+    EXPECT_FALSE(autoscaler.plan(*f.cluster, f.now).scale_out.empty());
 }
 
 TEST(Guarantees, WhatATaskWaitsForIsSaid) {
@@ -329,11 +329,11 @@
         cluster->set_quotas(tree, changed, 5);
         records.read_into(*cluster, now, wall);
     }
-    Report report(const std::string& name) {
+    WorkerHeartbeat heartbeat(const std::string& name) {
         Worker& w = workers[name];
-        Report r;
+        WorkerHeartbeat r;
         r.machine = name, r.address = "127.0.0.1:9", r.type = "small", r.zone = "a";
-        r.session = 1, r.seq = ++w.seq, r.fencing_token = w.fencing_token;
+        r.agent_epoch = 1, r.seq = ++w.seq, r.fencing_token = w.fencing_token;
         for (auto& [a, s] : w.tasks) r.tasks.push_back({a, s.first, s.second, false});
         return r;
     }
@@ -384,7 +384,7 @@
         for (auto& [name, w] : workers)
             if (pick(2)) {
                 execute(name, fencing_token, {});
-                cluster->on_report(report(name), false, now);
+                cluster->on_heartbeat(heartbeat(name), false, now);
             }
     }
     void push(const std::string& name) {
@@ -403,7 +403,7 @@
             return;
         }
         cluster->push_answered(*m, commands, fencing_token, ok, false, now);
-        cluster->on_report(report(name), false, now);
+        cluster->on_heartbeat(heartbeat(name), false, now);
     }
     void step() {
         auto any = [&] { return "n-" + std::to_string(1 + pick(3)); };
@@ -417,8 +417,8 @@
                 s.tasks = static_cast<std::uint32_t>(1 + pick(5));
                 s.need = {static_cast<double>(1 + pick(2)), 0, 1};
                 s.priority = static_cast<Priority>(pick(4));
-                if (pick(5) == 0) s.sort = Sort::gang, s.tasks = 2;
-                if (pick(5) == 0) s.sort = Sort::service;
+                if (pick(5) == 0) s.kind = JobKind::gang, s.tasks = 2;
+                if (pick(5) == 0) s.kind = JobKind::service;
                 if (pick(2)) s.checkpoint_s = 5, s.save_s = 1;
                 jobs[s.id] = s;
                 state::JobRecord record{s, wall++};
@@ -441,13 +441,13 @@
             case 8: {
                 auto name = any();
                 for (auto& [a, s] : workers[name].tasks)
-                    if (s.first == TaskState::running && jobs[a.task.job].sort == Sort::array && pick(2)) {
+                    if (s.first == TaskState::running && jobs[a.task.job].kind == JobKind::array && pick(2)) {
                         s = {TaskState::exited, pick(6) ? Cause::done : Cause::error};
                         break;
                     }
-                auto r = report(name);
+                auto r = heartbeat(name);
                 if (pick(4) == 0) break;  // lost
-                cluster->on_report(r, true, now);
+                cluster->on_heartbeat(r, true, now);
                 auto commands = cluster->reply_commands(*cluster->find_machine(name), now);
                 if (pick(6)) execute(name, fencing_token, commands);
                 break;
@@ -517,7 +517,7 @@
         std::map<std::string, double> sum;
         const auto& held = cluster->ledger().tree();
         for (auto& [name, m] : cluster->machines())
-            for (auto& [a, e] : m->entries)
+            for (auto& [a, e] : m->assignments)
                 if (!e.exited() && e.account != quota::no_node)
                     for (auto n = e.account; n != quota::root; n = held.node(n).parent)
                         sum[held.node(n).path] += e.need.cpus;
@@ -546,7 +546,7 @@
     std::size_t started = 0, takeovers = 0;
     for (std::uint64_t seed = 1; seed <= histories; ++seed) {
         World w(seed);
-        for (auto& [name, worker] : w.workers) w.cluster->on_report(w.report(name), true, w.now);
+        for (auto& [name, worker] : w.workers) w.cluster->on_heartbeat(w.heartbeat(name), true, w.now);
         for (int step = 0; step < 60; ++step) {
             w.step();
             auto wrong = w.wrong();
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -160,7 +160,7 @@
 
 TEST(CloudModel, ARepeatedRequestRentsNothingMore) {
     Cloud c;
-    wire::RentRequest r{"r-1", "box", "a", false, 3};
+    wire::ProvisioningRequest r{"r-1", "box", "a", false, 3};
     auto first = c.model.rent(r, c.now);
     ASSERT_TRUE(first);
     EXPECT_EQ(first->size(), 3u);
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/silence.hpp"
+#include "fleet/failure_detector.hpp"
 #include "support.hpp"
 
 using namespace barrowrun;
@@ -15,19 +15,19 @@
 };
 }  // namespace
 
-// A push without an answer may execute as long as token and session match: an absence proves nothing.
-TEST_F(MachineTest, LateLaunchIsNotSettledByALaterReportWithoutIt) {
+// A push without an answer may execute as long as token and agent epoch match: an absence proves nothing.
+TEST_F(MachineTest, LateLaunchIsNotSettledByALaterHeartbeatWithoutIt) {
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
     f.place_all();
     auto sent = f.cluster->push_commands(f.machine("n-1"), f.now);
     ASSERT_EQ(sent.size(), 1u);
     f.cluster->push_answered(f.machine("n-1"), sent, 10, false, true, f.now);
-    f.cluster->on_report(f.report("n-1"), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1"), true, f.now);
     EXPECT_EQ(job.places.size(), 1u);
     EXPECT_TRUE(job.waiting.empty());
     // Once the worker has seen a newer token, the old launch is dead.
-    f.cluster->on_report(f.report("n-1", {}, 11), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {}, 11), true, f.now);
     EXPECT_TRUE(job.places.empty());
     EXPECT_EQ(job.waiting.size(), 1u);
 }
@@ -40,32 +40,32 @@
     f.cluster->push_answered(f.machine("n-1"), sent, 10, false, true, f.now);
     auto a = only("n-1");
     TaskStatus failed{a, TaskState::exited, Cause::error, false};
-    f.cluster->on_report(f.report("n-1", {failed}), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {failed}), true, f.now);
     EXPECT_TRUE(f.cluster->reply_commands(f.machine("n-1"), f.now).empty());
-    f.cluster->on_report(f.report("n-1", {failed}, 11), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {failed}, 11), true, f.now);
     auto commands = f.cluster->reply_commands(f.machine("n-1"), f.now);
     ASSERT_EQ(commands.size(), 1u);
     EXPECT_EQ(commands[0].verb, Verb::reap);
 }
 
-TEST_F(MachineTest, LaunchInAResponseIsSettledByTheNextReportOnly) {
+TEST_F(MachineTest, LaunchInAResponseIsSettledByTheNextHeartbeatOnly) {
     auto& m = f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
-    m.push_ok = false;
+    m.push_reachable = false;
     f.place_all();
-    f.cluster->on_report(f.report("n-1"), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1"), true, f.now);
     auto sent = f.cluster->reply_commands(m, f.now);
     ASSERT_EQ(sent.size(), 1u);
     // An answer of /commands may have been made before the response arrived.
-    f.cluster->on_report(f.report("n-1"), false, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1"), false, f.now);
     EXPECT_EQ(job.places.size(), 1u);
-    f.cluster->on_report(f.report("n-1"), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1"), true, f.now);
     EXPECT_TRUE(job.places.empty());
 }
 
 // The launch of a cancelled job's task was pushed without an answer and may be carried out minutes later,
-// while the token can't be renewed: only the end of the session voids it, so the lease must not be renewed
-// for ever.
+// while the token can't be renewed: only the end of the agent epoch voids it, so the lease must not be
+// renewed for ever.
 TEST_F(MachineTest, ALateLaunchOfWhatMustBeGoneEndsTheRenewals) {
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
@@ -77,7 +77,7 @@
     EXPECT_TRUE(f.machine("n-1").may_renew(f.now + 20s - 1ms, 20s));
     EXPECT_FALSE(f.machine("n-1").may_renew(f.now + 20s, 20s));
     // A worker that has shown a higher token refuses it.
-    f.cluster->on_report(f.report("n-1", {}, 11), true, f.now + 21s);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {}, 11), true, f.now + 21s);
     EXPECT_TRUE(f.machine("n-1").may_renew(f.now + 30s, 20s));
 }
 
@@ -94,38 +94,38 @@
     EXPECT_EQ(commands[0].verb, Verb::kill);
 }
 
-TEST_F(MachineTest, AReportThatCrossesAPushProvesNothing) {
+TEST_F(MachineTest, AHeartbeatThatCrossesAPushProvesNothing) {
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
     f.place_all();
     f.cluster->push_commands(f.machine("n-1"), f.now);
-    f.cluster->on_report(f.report("n-1"), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1"), true, f.now);
     EXPECT_EQ(job.places.size(), 1u);
 }
 
-TEST_F(MachineTest, OlderReportsChangeNothing) {
+TEST_F(MachineTest, OlderHeartbeatsChangeNothing) {
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
     f.place_all();
-    auto old = f.report("n-1");
+    auto old = f.heartbeat("n-1");
     f.run("n-1");
-    EXPECT_FALSE(f.cluster->on_report(old, true, f.now));
-    old.session = 0;
+    EXPECT_FALSE(f.cluster->on_heartbeat(old, true, f.now));
+    old.agent_epoch = 0;
     old.seq = 999;
-    EXPECT_FALSE(f.cluster->on_report(old, true, f.now));
+    EXPECT_FALSE(f.cluster->on_heartbeat(old, true, f.now));
     EXPECT_EQ(job.places.size(), 1u);
 }
 
-TEST_F(MachineTest, AHigherSessionProvesTheEarlierOneEmpty) {
+TEST_F(MachineTest, AHigherAgentEpochProvesTheEarlierOneEmpty) {
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
     f.place_all();
     auto sent = f.cluster->push_commands(f.machine("n-1"), f.now);
     f.cluster->push_answered(f.machine("n-1"), sent, 10, false, true, f.now);
-    auto r = f.report("n-1");
-    r.session = 2;
+    auto r = f.heartbeat("n-1");
+    r.agent_epoch = 2;
     r.seq = 1;
-    EXPECT_TRUE(f.cluster->on_report(r, true, f.now));
+    EXPECT_TRUE(f.cluster->on_heartbeat(r, true, f.now));
     EXPECT_TRUE(job.places.empty());
 }
 
@@ -149,32 +149,32 @@
 }
 
 // Guards against a leader that is cut off: its returns were held and executed 40 s later, on machines in use.
-TEST(Silence, IsTheMachinesOwnOnlyIfTheFleetIsHeard) {
-    EXPECT_TRUE(fleet::hears_the_fleet(10, 20));
-    EXPECT_TRUE(fleet::hears_the_fleet(6, 20));
-    EXPECT_FALSE(fleet::hears_the_fleet(5, 20));
-    EXPECT_FALSE(fleet::hears_the_fleet(0, 3));
-    EXPECT_FALSE(fleet::hears_the_fleet(0, 0));
+TEST(FailureDetector, BlamesAMachineOnlyIfTheFleetIsHeard) {
+    EXPECT_TRUE(fleet::hears_enough_of_fleet(10, 20));
+    EXPECT_TRUE(fleet::hears_enough_of_fleet(6, 20));
+    EXPECT_FALSE(fleet::hears_enough_of_fleet(5, 20));
+    EXPECT_FALSE(fleet::hears_enough_of_fleet(0, 3));
+    EXPECT_FALSE(fleet::hears_enough_of_fleet(0, 0));
 }
 
 // A zone that is cut off as a whole was returned wave by wave, with all that ran on there.
-TEST(Silence, OfAWholeZoneIsACutAndNothingIsReturnedBeforeItsLeasesAreLongOver) {
+TEST(FailureDetector, DeclaresNoMachineOfASilentZoneFailedBeforeItsLeaseIsLongOver) {
     Fleet f;
     std::vector<std::string> there;
     for (int i = 0; i < 20; ++i) {
         f.up("a-" + std::to_string(i), "a");
         if (i < 10) f.up("b-" + std::to_string(i), "b"), there.push_back("b-" + std::to_string(i));
     }
-    fleet::Silence silence({3s, 20s, 16});
+    fleet::FailureDetector failure_detector({3s, 20s, 16});
     const auto cut = f.now;
     std::size_t given_up = 0;
     auto play = [&](Clock::duration until) {
         for (; f.now < cut + until; f.now += 500ms) {
             for (int i = 0; i < 20; ++i) f.up("a-" + std::to_string(i), "a");
-            auto verdict = silence.judge(
+            auto verdict = failure_detector.evaluate(
                 f.cluster->machines(), f.now, cut, [](auto&) { return true; }, true);
-            for (auto* m : verdict.ask) m->missed++;
-            for (auto* m : verdict.give_up) m->returning = true, ++given_up;
+            for (auto* m : verdict.probe) m->missed_probes++;
+            for (auto* m : verdict.declare_failed) m->returning = true, ++given_up;
         }
     };
     play(55s);
@@ -183,49 +183,49 @@
     EXPECT_EQ(given_up, there.size()) << "empty for certain, and paid for";
 }
 
-TEST(Silence, OfOneMachineInAZoneThatIsHeardIsItsOwn) {
+TEST(FailureDetector, DeclaresASilentMachineOfAHeardZoneFailed) {
     Fleet f;
     for (int i = 0; i < 10; ++i) f.up("b-" + std::to_string(i), "b");
-    fleet::Silence silence({3s, 20s, 16});
+    fleet::FailureDetector failure_detector({3s, 20s, 16});
     const auto begin = f.now;
     std::set<std::string> given_up;
     for (; f.now < begin + 10s; f.now += 500ms) {
         for (int i = 1; i < 10; ++i) f.up("b-" + std::to_string(i), "b");
-        auto verdict = silence.judge(
+        auto verdict = failure_detector.evaluate(
             f.cluster->machines(), f.now, begin, [](auto&) { return true; }, true);
-        for (auto* m : verdict.ask) m->missed++;
-        for (auto* m : verdict.give_up) given_up.insert(m->name);
+        for (auto* m : verdict.probe) m->missed_probes++;
+        for (auto* m : verdict.declare_failed) given_up.insert(m->name);
     }
     EXPECT_EQ(given_up, std::set<std::string>{"b-0"});
 }
 
-// A zone is cut off for longer than a lease; its worker is in a new session when it can be reached again, and
-// the first to be heard of it is the answer to a push. That session's lease is young, whoever was last
+// A zone is cut off for longer than a lease; its worker is in a new agent epoch when it can be reached again,
+// and the first to be heard of it is the answer to a push. That session's lease is young, whoever was last
 // answered.
-TEST_F(MachineTest, ASessionHeardOfByAPushHasALeaseOfItsOwn) {
+TEST_F(MachineTest, AnAgentEpochHeardOfByAPushHasALeaseOfItsOwn) {
     f.restart(50);
     state::MachineRecord record;
     record.name = "n-1";
     record.address = "127.0.0.1:9", record.type = "small", record.zone = "a";
-    f.cluster->inherit(0, record, f.now, f.wall);
+    f.cluster->recover_machine(0, record, f.now, f.wall);
     f.now += 37s;  // longer than the lease of 20 s since the acquisition
-    auto fresh = f.report("n-1", {}, 50);
-    fresh.session = 2;
-    f.cluster->on_report(fresh, false, f.now);
+    auto fresh = f.heartbeat("n-1", {}, 50);
+    fresh.agent_epoch = 2;
+    f.cluster->on_heartbeat(fresh, false, f.now);
     auto& job = f.add(f.spec("wk-1"));
     f.place_all();
     ASSERT_EQ(job.places.size(), 1u);
-    EXPECT_GE(f.machine("n-1").lease_end(20, f.cluster->acquired()), f.now + 20s);
+    EXPECT_GE(f.machine("n-1").lease_expiry(20, f.cluster->acquired()), f.now + 20s);
     // The same for a session that follows one whose reports were answered.
     f.machine("n-1").last_answer = f.now;
     f.now += 30s;
-    fresh.session = 3, ++fresh.seq;
-    f.cluster->on_report(fresh, false, f.now);
-    EXPECT_GE(f.machine("n-1").lease_end(20, f.cluster->acquired()), f.now + 20s);
-    // A further report of a session known already does not prolong it.
-    auto end = f.machine("n-1").lease_end(20, f.cluster->acquired());
+    fresh.agent_epoch = 3, ++fresh.seq;
+    f.cluster->on_heartbeat(fresh, false, f.now);
+    EXPECT_GE(f.machine("n-1").lease_expiry(20, f.cluster->acquired()), f.now + 20s);
+    // A further report of an agent epoch known already does not prolong it.
+    auto end = f.machine("n-1").lease_expiry(20, f.cluster->acquired());
     f.now += 5s;
     ++fresh.seq;
-    f.cluster->on_report(fresh, false, f.now);
-    EXPECT_EQ(f.machine("n-1").lease_end(20, f.cluster->acquired()), end);
+    f.cluster->on_heartbeat(fresh, false, f.now);
+    EXPECT_EQ(f.machine("n-1").lease_expiry(20, f.cluster->acquired()), end);
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -226,22 +226,23 @@
     EXPECT_LE(requests, 10);
 }
 
-TEST(CloudClient, ARentalWithoutAnAnswerIsUnknownAndNoCapacityIsFinal) {
+TEST(CloudClient, AProvisioningRequestWithoutAnAnswerIsUnknownAndNoCapacityIsFinal) {
     auto rent = [](Scripted& peer) {
         fleet::CloudClient client(peer.io, peer.address(), 10);
         return peer
-            .play<fleet::RentResult>(
-                [&]() -> net::Task<fleet::RentResult> { return client.rent("r-1", "g8", "a", false, 2); })
+            .play<fleet::ProvisioningResult>([&]() -> net::Task<fleet::ProvisioningResult> {
+                return client.provision("r-1", "g8", "a", false, 2);
+            })
             .outcome;
     };
     Scripted silent, full, trouble, garbage, granted;
-    EXPECT_EQ(rent(silent), fleet::RentOutcome::unknown);
+    EXPECT_EQ(rent(silent), fleet::ProvisioningOutcome::unknown);
     full.answer(503, {{"error", "no capacity"}});
-    EXPECT_EQ(rent(full), fleet::RentOutcome::no_capacity);
+    EXPECT_EQ(rent(full), fleet::ProvisioningOutcome::no_capacity);
     trouble.answer(503, {{"error", "trouble"}});
-    EXPECT_EQ(rent(trouble), fleet::RentOutcome::unknown);
+    EXPECT_EQ(rent(trouble), fleet::ProvisioningOutcome::unknown);
     garbage.answer(200, {{"barrows", {1, 2}}});
-    EXPECT_EQ(rent(garbage), fleet::RentOutcome::unknown);
+    EXPECT_EQ(rent(garbage), fleet::ProvisioningOutcome::unknown);
     granted.answer(200, {{"barrows", {"n-1"}}});
-    EXPECT_EQ(rent(granted), fleet::RentOutcome::granted);
+    EXPECT_EQ(rent(granted), fleet::ProvisioningOutcome::granted);
 }
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -47,9 +47,9 @@
     auto back = parse_machine(*wire::decode(wire::encode(to_json(m))));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->attempts, m.attempts);
-    EXPECT_EQ(back->rented_ms, 77);
-    EXPECT_EQ(parse_sheet_key(sheet_key(12)), 12u);
-    EXPECT_FALSE(parse_sheet(wire::Json::array({to_json(m), "n-8"}))) << "whole or not at all";
+    EXPECT_EQ(back->provisioned_ms, 77);
+    EXPECT_EQ(parse_assignment_shard_key(assignment_shard_key(12)), 12u);
+    EXPECT_FALSE(parse_assignment_shard(wire::Json::array({to_json(m), "n-8"}))) << "whole or not at all";
     Progress p;
     p.done.insert_range(2, 5);
     p.cancelled = true;
--- a/tests/retries_test.cpp
+++ b/tests/retries_test.cpp
@@ -16,15 +16,15 @@
     // Starts task 0 on the machine and lets it fail there; what the worker then reports, until it is reaped.
     TaskStatus fail(const std::string& name) {
         now += 60s;
-        cluster->on_report(report(name, {}, cluster->fencing_token()), true, now);
+        cluster->on_heartbeat(heartbeat(name, {}, cluster->fencing_token()), true, now);
         place_all();
         auto commands = run(name);
         EXPECT_EQ(commands.size(), 1u);
         TaskStatus failed{commands.at(0).attempt, TaskState::exited, Cause::error, false};
-        cluster->on_report(report(name, {failed}, cluster->fencing_token()), true, now);
+        cluster->on_heartbeat(heartbeat(name, {failed}, cluster->fencing_token()), true, now);
         return failed;
     }
-    wire::Standing past() { return cluster->past("wk-1").value().standing; }
+    wire::JobState past() { return cluster->past("wk-1").value().state; }
     // The records as a successor reads them.
     std::map<std::string, std::optional<wire::Json>> store;
     void keep() {
@@ -36,11 +36,11 @@
         auto p = kept ? state::parse_progress(*kept, s.tasks) : std::nullopt;
         cluster->add_job({s, 1'000'000}, p ? &*p : nullptr, now, wall);
         for (auto& [key, value] : store) {
-            auto n = state::parse_sheet_key(key);
+            auto n = state::parse_assignment_shard_key(key);
             if (!n || !value) continue;
-            auto records = state::parse_sheet(*value);
+            auto records = state::parse_assignment_shard(*value);
             if (!records) continue;
-            for (auto& r : *records) cluster->inherit(*n, r, now, wall);
+            for (auto& r : *records) cluster->recover_machine(*n, r, now, wall);
         }
     }
 };
@@ -59,10 +59,10 @@
         auto task0 = f.cluster->find_job("wk-1")->places.at(0).at(0);
         TaskStatus failed{{{"wk-1", 0}, task0.second}, TaskState::exited, Cause::error, false};
         TaskStatus running{other, TaskState::running, Cause::none, false};
-        f.cluster->on_report(f.report("n-1", {failed, running}), true, f.now);
+        f.cluster->on_heartbeat(f.heartbeat("n-1", {failed, running}), true, f.now);
         f.write();
         f.now += 61s;
-        f.cluster->on_report(f.report("n-1", {running}), true, f.now);
+        f.cluster->on_heartbeat(f.heartbeat("n-1", {running}), true, f.now);
         if (i == 0) {
             f.place_all();
             f.run("n-1");
@@ -70,11 +70,11 @@
     }
     auto* job = f.cluster->find_job("wk-1");
     ASSERT_TRUE(job);
-    EXPECT_EQ(job->standing(), wire::Standing::failed);
-    EXPECT_TRUE(f.machine("n-1").entries.at(other).stop);
-    f.cluster->on_report(f.report("n-1", {}), true, f.now);
+    EXPECT_EQ(job->job_state(), wire::JobState::failed);
+    EXPECT_TRUE(f.machine("n-1").assignments.at(other).stop);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {}), true, f.now);
     f.write();
-    EXPECT_EQ(f.past(), wire::Standing::failed);
+    EXPECT_EQ(f.past(), wire::JobState::failed);
     EXPECT_EQ(f.cluster->past("wk-1")->errors->errors, 2u);
     EXPECT_EQ(f.cluster->past("wk-1")->errors->last->machine, "n-1");
 }
@@ -88,7 +88,7 @@
         f.write();
     }
     ASSERT_TRUE(f.cluster->find_job("wk-1"));
-    EXPECT_EQ(f.cluster->find_job("wk-1")->standing(), wire::Standing::queued);
+    EXPECT_EQ(f.cluster->find_job("wk-1")->job_state(), wire::JobState::queued);
     EXPECT_FALSE(f.cluster->find_job("wk-1")->error_count);
 }
 
@@ -119,7 +119,7 @@
     f.keep();
     f.successor(20, s);
     // The worker still shows it: the reap was never sent.
-    f.cluster->on_report(f.report("n-1", {failed}, 20), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {failed}, 20), true, f.now);
     EXPECT_EQ(f.cluster->find_job("wk-1")->error_count->errors, 1u);
     EXPECT_FALSE(f.cluster->find_job("wk-1")->failed);
     f.write();
@@ -136,20 +136,20 @@
     auto sent = f.run("n-1");
     ASSERT_EQ(sent.size(), 1u);
     TaskStatus failed{sent[0].attempt, TaskState::exited, Cause::error, false};
-    f.cluster->on_report(f.report("n-1", {failed}), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {failed}), true, f.now);
     // The leader dies before it writes. Its successor starts nothing until the machine has spoken.
     f.successor(20, s);
     f.up("n-2");
     EXPECT_FALSE(f.cluster->round(f.now));
-    f.cluster->on_report(f.report("n-1", {failed}, 20), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {failed}, 20), true, f.now);
     EXPECT_TRUE(f.cluster->find_job("wk-1")->failed);
     f.write();
     f.write();
-    EXPECT_EQ(f.past(), wire::Standing::failed);
+    EXPECT_EQ(f.past(), wire::JobState::failed);
     EXPECT_EQ(f.cluster->past("wk-1")->errors->errors, 1u);
 }
 
-TEST(Retries, TheSheetNamesAFailureUntilItIsCounted) {
+TEST(Retries, TheAssignmentShardNamesAFailureUntilItIsCounted) {
     Counting f;
     f.up("n-1");
     f.add(f.limited(2));
@@ -158,7 +158,7 @@
     auto sent = f.run("n-1");
     ASSERT_EQ(sent.size(), 1u);
     TaskStatus failed{sent[0].attempt, TaskState::exited, Cause::error, false};
-    f.cluster->on_report(f.report("n-1", {failed}), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", {failed}), true, f.now);
     f.cluster->mark_machine_dirty("n-1");
     auto writes = f.cluster->take_writes(1, 1 << 20, f.now, f.wall);
     EXPECT_EQ(Fleet::recorded(writes).at("n-1").size(), 1u);
@@ -168,14 +168,14 @@
     Counting f;
     f.up("n-1");
     auto s = f.limited(1, 2);
-    s.sort = wire::Sort::gang;
+    s.kind = wire::JobKind::gang;
     f.add(s);
     f.place_all();
     auto sent = f.run("n-1");
     ASSERT_EQ(sent.size(), 2u);
     std::vector<TaskStatus> both;
     for (auto& c : sent) both.push_back({c.attempt, TaskState::exited, Cause::error, false});
-    f.cluster->on_report(f.report("n-1", both), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", both), true, f.now);
     auto* job = f.cluster->find_job("wk-1");
     EXPECT_EQ(job->error_count->errors, 1u);
     EXPECT_FALSE(job->failed);
@@ -191,7 +191,7 @@
     EXPECT_EQ(std::get<wire::JobSpec>(wire::parse_submission(body)).retries, 4u);
     body["retries"] = "many";
     EXPECT_TRUE(std::holds_alternative<std::string>(wire::parse_submission(body)));
-    wire::JobStatus status{"wk-7", wire::Standing::failed, 1, 0,
+    wire::JobStatus status{"wk-7", wire::JobState::failed, 1, 0,
                            wire::ErrorCount{2, wire::Failure{"wk-7/0", "n-1", 9}}};
     auto back = wire::parse_status(wire::status_json(status));
     ASSERT_TRUE(back && back->errors && back->errors->last);
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -132,7 +132,7 @@
 
 bool Checker::may_start(const Job& job, const std::vector<Host>& hosts) const {
     const auto& spec = *job.second.spec;
-    const bool gang = spec.sort == wire::Sort::gang;
+    const bool gang = spec.kind == wire::JobKind::gang;
     auto limit = limits_.team_cpus.find(spec.team);
     auto use = team_use_.find(spec.team);
     const double used = use == team_use_.end() ? 0 : use->second;
--- a/tests/sim/checker_test.cpp
+++ b/tests/sim/checker_test.cpp
@@ -171,7 +171,7 @@
 }
 
 TEST_F(Waiting, AGangNeedsRoomForAllItsTasks) {
-    spec.sort = wire::Sort::gang;
+    spec.kind = wire::JobKind::gang;
     checker.intend(spec);
     accepted();
     look_for(120s);
--- a/tests/sim/gap_test.cpp
+++ b/tests/sim/gap_test.cpp
@@ -71,7 +71,7 @@
 TEST(Gap, ALaunchThatIsHeldUpForLongStartsNothingThatWasCancelled) {
     // Whether a connection holds the launch or can't be opened at all is drawn.
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-        // The lease is long enough for the worker to find a node that passes its reports on.
+        // The lease is long enough for the worker to find a node that passes its heartbeats on.
         Site site({.seed = seed, .machines = 1, .most_machines = 1, .lease_s = 26, .cancel_s = 52});
         site.poll_all(2s);
         auto before = site.job(1, 500);
--- a/tests/sim/histories.cpp
+++ b/tests/sim/histories.cpp
@@ -40,7 +40,7 @@
 
 // Work that goes on all the time: services, arrays short and long, one by one.
 void keep_busy(Site& site, Nanos until) {
-    for (int i = 0; i < 3; ++i) site.submit(site.job(2, 0, wire::Sort::service));
+    for (int i = 0; i < 3; ++i) site.submit(site.job(2, 0, wire::JobKind::service));
     for (int i = 0; i < 2; ++i) site.submit(site.job(3, 300));
     site.world.every(2s, [&site, until] {
         site.submit(
--- a/tests/sim/meetings_answers_test.cpp
+++ b/tests/sim/meetings_answers_test.cpp
@@ -92,7 +92,7 @@
         Site site({.seed = seed});
         auto& w = site.world;
         site.poll_all(1s);
-        for (int i = 0; i < 3; ++i) site.submit(site.job(2, 0, wire::Sort::service));
+        for (int i = 0; i < 3; ++i) site.submit(site.job(2, 0, wire::JobKind::service));
         for (int i = 0; i < 6; ++i) site.submit(site.job(2, 70));
         site.run(8s);
         std::size_t changes = 0;
--- a/tests/sim/meetings_leases_test.cpp
+++ b/tests/sim/meetings_leases_test.cpp
@@ -31,20 +31,20 @@
 
 }  // namespace
 
-// A worker that reaches no node: its session ends, and its next one is heard of by direct commands alone.
-TEST(MuteMachines, ASessionHeardOfByDirectCommandsHasALeaseOfItsOwn) {
+// A worker that reaches no node: its agent epoch ends, and its next one is heard of by direct commands alone.
+TEST(MuteMachines, AnAgentEpochHeardOfByDirectCommandsHasALeaseOfItsOwn) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         Site site({.seed = seed, .machines = 3, .most_machines = 3});
         site.poll_all(2s);
         site.run(4s);
         auto* mute = site.live_workers().back();
-        // Fills the other two until the mute machine's second session is about half over.
+        // Fills the other two until the mute machine's second agent epoch is about half over.
         auto filling = site.job(2, 21);
         filling.need.cpus = 4;
         site.submit(filling);
         site.run(1s);
         mute_machine(site, mute->name(), 45s);
-        ASSERT_TRUE(run_until(site, 20s, [&] { return mute->session() > 1; }));
+        ASSERT_TRUE(run_until(site, 20s, [&] { return mute->agent_epoch() > 1; }));
         auto spec = site.job(1, 100);
         spec.need.cpus = 3;
         site.submit(spec);
@@ -189,7 +189,7 @@
 }
 
 // A report from before a task started arrives again after newer ones.
-TEST(OldReports, AReportOlderThanWhatIsKnownProvesNothing) {
+TEST(OldHeartbeats, AHeartbeatOlderThanWhatIsKnownProvesNothing) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         Site site({.seed = seed, .machines = 4});
         site.poll_all(2s);
@@ -203,9 +203,9 @@
     }
 }
 
-// All nodes are away until the workers' sessions have ended; copies of reports of the earlier sessions come
-// when a node is back.
-TEST(AllNodesAway, WhatRanIsStartedAgainOnceAndReportsOfEarlierSessionsCountForNothing) {
+// All nodes are away until the workers' agent epochs have ended; copies of heartbeats of the earlier agent
+// epochs come when a node is back.
+TEST(AllNodesAway, WhatRanIsStartedAgainOnceAndHeartbeatsOfEarlierAgentEpochsCountForNothing) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         Site site({.seed = seed, .machines = 4});
         site.poll_all(2s);
@@ -221,9 +221,9 @@
     }
 }
 
-// An old report, from before a task was started, reaches every node just as a new leader begins; the machine
-// itself is not heard for a while.
-TEST(OldReports, AReportKeptForTheNextLeaderProvesNothingOfWhatItsPredecessorStarted) {
+// An old heartbeat, from before a task was started, reaches every node just as a new leader begins; the
+// machine itself is not heard for a while.
+TEST(OldHeartbeats, AHeartbeatKeptForTheNextLeaderProvesNothingOfWhatItsPredecessorStarted) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         Site site({.seed = seed, .machines = 2, .most_machines = 2});
         site.poll_all(2s);
@@ -274,7 +274,7 @@
         Site site({.seed = seed, .zones = {"a", "b"}, .machines = 4, .most_machines = 4});
         site.poll_all(2s);
         site.run(3s);
-        auto spec = site.job(4, 0, wire::Sort::service);
+        auto spec = site.job(4, 0, wire::JobKind::service);
         spec.spread = true;
         auto* worker = start_job(site, spec);
         ASSERT_TRUE(worker);
@@ -291,7 +291,7 @@
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         Site site({.seed = seed, .machines = 4});
         site.poll_all(2s);
-        auto spec = site.job(3, 12, wire::Sort::gang);
+        auto spec = site.job(3, 12, wire::JobKind::gang);
         spec.need.cpus = 1.5;
         auto* worker = start_job(site, spec);
         ASSERT_TRUE(worker);
--- a/tests/sim/pairs.cpp
+++ b/tests/sim/pairs.cpp
@@ -138,7 +138,7 @@
 void any_work(Site& site) {
     auto& w = site.world;
     auto spec = site.job(1 + static_cast<std::uint32_t>(w.random() % 3), w.between(3, 60),
-                         w.one_in(4) ? wire::Sort::gang : wire::Sort::array);
+                         w.one_in(4) ? wire::JobKind::gang : wire::JobKind::array);
     spec.priority = static_cast<wire::Priority>(w.random() % 4);
     if (w.one_in(4)) spec.zone = any_zone(site);
     if (!spec.zone) {
@@ -147,14 +147,14 @@
     }
     spec.spot_ok = w.one_in(2);
     if (w.one_in(4)) spec.need.cpus = 2;
-    if (spec.sort == wire::Sort::array && w.one_in(4)) spec.checkpoint_s = 5, spec.save_s = 1;
+    if (spec.kind == wire::JobKind::array && w.one_in(4)) spec.checkpoint_s = 5, spec.save_s = 1;
     site.submit(spec);
     if (w.one_in(4)) w.after(draw(site, 0, 40), [&site, id = spec.id] { site.cancel(id); });
 }
 
 void keep_working(Site& site, Nanos until) {
     for (int i = 0; i < 3; ++i) {
-        auto spec = site.job(2, 0, wire::Sort::service);
+        auto spec = site.job(2, 0, wire::JobKind::service);
         spec.spread = site.zones() > 1;
         site.submit(spec);
     }
@@ -174,7 +174,7 @@
     options.most_machines = 16;
     const std::pair<double, double> leases[] = {{12, 24}, {14, 39}, {22, 47}};
     std::tie(options.lease_s, options.cancel_s) = leases[random() % 3];
-    options.report_s = random() % 2 ? 3 : 1.5;
+    options.heartbeat_s = random() % 2 ? 3 : 1.5;
     options.boot_s = random() % 3 ? 10 : 1.5;
     options.team_cpus_most = random() % 3 ? 0 : 20;
     options.keep_leases = random() % 4 != 0;
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -181,7 +181,7 @@
         return {200, wire::machine_list_json(model_.list(query(request.target, "since"),
                                                          number(query(request.target, "page"), 500),
                                                          Clock::now()))};
-    auto rent = wire::parse_rent(request.body);
+    auto rent = wire::parse_provisioning_request(request.body);
     if (!rent || !model_.known(*rent)) return {400, {{"error", "malformed"}}};
     auto names = model_.rent(*rent, Clock::now());
     if (!names) return {503, {{"error", "no capacity"}}};
--- a/tests/sim/site.cpp
+++ b/tests/sim/site.cpp
@@ -60,7 +60,7 @@
     settings_.state = "state";
     settings_.rules.lease_s = options_.lease_s;
     settings_.rules.cancel_s = options_.cancel_s;
-    settings_.rules.report_s = options_.report_s;
+    settings_.rules.heartbeat_s = options_.heartbeat_s;
     settings_.rules.txn_ops = 32;
     settings_.rules.teams[team] = {0, 0, options_.team_cpus_most, 0};
     if (options_.start_within_s > 0)
@@ -146,7 +146,7 @@
 void Site::add_worker(const lab::CloudModel::Machine& m) {
     std::vector<std::pair<std::string, std::string>> addresses;
     for (std::size_t i = 0; i < nodes; ++i) addresses.emplace_back(node_name(i), public_address(i));
-    WorkerRules rules{secs(options_.lease_s), secs(options_.report_s)};
+    WorkerRules rules{secs(options_.lease_s), secs(options_.heartbeat_s)};
     Checker::Where where{m.name, m.type, m.zone, m.spot};
     workers_[m.name] = std::make_unique<Worker>(world, checker, gangs_, rules, std::move(addresses),
                                                 std::move(where), machine_room);
@@ -207,15 +207,15 @@
 
 // ---- users ---------------------------------------------------------------------------------------------
 
-wire::JobSpec Site::job(std::uint32_t tasks, double run_s, wire::Sort sort) {
+wire::JobSpec Site::job(std::uint32_t tasks, double run_s, wire::JobKind kind) {
     wire::JobSpec s;
     char id[16];
     std::snprintf(id, sizeof id, "wk-%06u", static_cast<unsigned>(++next_job_ % 1'000'000));
     s.id = id;
-    s.job_class = sort == wire::Sort::service ? "desk" : sort == wire::Sort::gang ? "gang" : "batch";
+    s.job_class = sort == wire::JobKind::service ? "desk" : sort == wire::JobKind::gang ? "gang" : "batch";
     s.team = team;
-    s.sort = sort;
-    s.priority = sort == wire::Sort::service ? wire::Priority::production : wire::Priority::normal;
+    s.kind = sort;
+    s.priority = sort == wire::JobKind::service ? wire::Priority::production : wire::Priority::normal;
     s.tasks = tasks;
     s.need = {1, 0, 4};
     s.image = "img-1";
--- a/tests/sim/site.hpp
+++ b/tests/sim/site.hpp
@@ -13,7 +13,7 @@
     std::uint64_t seed = 1;
     std::vector<std::string> zones{"a"};  // of the nodes and the machines, in turn
     std::size_t machines = 6, most_machines = 12;
-    double lease_s = 12, cancel_s = 24, report_s = 3, boot_s = 20;
+    double lease_s = 12, cancel_s = 24, heartbeat_s = 3, boot_s = 20;
     double team_cpus_most = 0;  // limit of the team; 0: none
     bool keep_leases = true;
     double start_within_s = 0;  // aim of arrays; 0: none, and machines are rented late
@@ -49,11 +49,11 @@
     void take_machine(const std::string& name, std::optional<Nanos> notice);
     // From here on, jobs are looked for that wait although they could run.
     void watch_waiting();
-    // Copies of reports are kept until another node leads, and arrive then.
+    // Copies of heartbeats are kept until another node leads, and arrive then.
     void keep_reports_for_next(std::uint64_t one_in, Nanos length);
 
     // Users. A submission, a cancellation or a question is repeated as the protocol says, at any node.
-    wire::JobSpec job(std::uint32_t tasks, double run_s, wire::Sort sort = wire::Sort::array);
+    wire::JobSpec job(std::uint32_t tasks, double run_s, wire::JobKind kind = wire::JobKind::array);
     void submit(const wire::JobSpec& spec);
     void cancel(const std::string& id, std::optional<std::size_t> at_node = std::nullopt);
     // Of a job that its user was told is over: it may not be called cancelled if it was done.
--- a/tests/sim/worker.cpp
+++ b/tests/sim/worker.cpp
@@ -21,7 +21,7 @@
       self_(std::make_shared<Worker*>(this)) {
     world_.serve(name(), name(), [this](Request r, Answer a) {
         if (r.target == "/inspect") {
-            if (!hung()) return a({200, wire::report_json(say())});
+            if (!hung()) return a({200, wire::worker_heartbeat_json(say())});
             return;
         }
         if (late_until_ > world_.now() && world_.one_in(late_one_in_)) {
@@ -85,9 +85,9 @@
     return {out.begin(), out.end()};
 }
 
-wire::Report Worker::say() {
-    wire::Report r{name(),   name(), where_.type,    where_.zone, where_.spot,
-                   session_, ++seq_, fencing_token_, {},          {}};
+wire::WorkerHeartbeat Worker::say() {
+    wire::WorkerHeartbeat r{name(),       name(), where_.type,    where_.zone, where_.spot,
+                            agent_epoch_, ++seq_, fencing_token_, {},          {}};
     if (ends_at_) r.notice_s = std::max(0.0, Seconds(*ends_at_ - world_.now()).count());
     for (auto& [a, t] : tasks_) r.tasks.push_back({a, t.state, t.cause, t.stored});
     return r;
@@ -103,7 +103,7 @@
 
 void Worker::end_session() {
     forget_tasks();
-    ++session_;
+    ++agent_epoch_;
     lease_from_ = world_.now();
     in_flight_ = false;
     changed();
@@ -117,7 +117,7 @@
     for (auto& [a, t] : tasks_) {
         const auto* s = checker_.spec(a.task.job);
         if (t.state == TaskState::fetching && world_.now() >= t.ready) image_is_here(a, t, s);
-        if (s && s->sort == wire::Sort::gang) step_gang(a, t, *s);
+        if (s && s->kind == wire::JobKind::gang) step_gang(a, t, *s);
         if (t.state == TaskState::running && world_.now() >= t.ends) {
             results_.insert(a.task);
             checker_.finished(a.task);
@@ -128,23 +128,24 @@
             exit(a, t, Cause::stopped);
         }
     }
-    if (!in_flight_ && world_.now() >= next_) report();
+    if (!in_flight_ && world_.now() >= next_) heartbeat();
 }
 
 void Worker::image_is_here(const wire::Attempt& a, Task& t, const wire::JobSpec* spec) {
     checker_.started(where_, a);
     t.since = world_.now();
     changed();
-    if (spec && spec->sort == wire::Sort::gang) {
+    if (spec && spec->kind == wire::JobKind::gang) {
         t.state = TaskState::waiting;
         gangs_.arrive(a, spec->tasks);
         return;
     }
     t.state = TaskState::running;
     // A result that was kept: it exits as soon as it has its image.
-    t.ends = results_.contains(a.task)                   ? world_.now()
-             : spec && spec->sort == wire::Sort::service ? Nanos::max()
-                                                         : world_.now() + secs(spec ? spec->estimate_s : 1);
+    t.ends = results_.contains(a.task) ? world_.now()
+             : spec && spec->kind == wire::JobKind::service
+                 ? Nanos::max()
+                 : world_.now() + secs(spec ? spec->estimate_s : 1);
 }
 
 void Worker::step_gang(const wire::Attempt& a, Task& t, const wire::JobSpec& spec) {
@@ -163,37 +164,37 @@
     }
 }
 
-void Worker::report() {
+void Worker::heartbeat() {
     in_flight_ = true;
     last_sent_ = world_.now();
     next_ = world_.now() +
             std::chrono::milliseconds(static_cast<long>(
-                static_cast<double>(rules_.report.count() / 1'000'000) * world_.between(0.75, 1.25)));
-    auto body = wire::report_json(say());
+                static_cast<double>(rules_.heartbeat.count() / 1'000'000) * world_.between(0.75, 1.25)));
+    auto body = wire::worker_heartbeat_json(say());
     if (copies_until_ > world_.now() && world_.one_in(copies_one_in_))
         copies_([&world = world_, nodes = nodes_, from = name() + "-copy", body] {
             for (auto& [node, address] : nodes)
                 world.send({from, verb::post, "/hello", body, 0}, address, 4s, [](Reply) {});
         });
     const auto sent = world_.now();
-    const auto session = session_;
+    const auto agent_epoch = agent_epoch_;
     world_.send({name(), verb::post, "/hello", std::move(body), 0}, nodes_[node_].second, 4s,
-                [this, sent, session, alive = std::weak_ptr<Worker*>(self_)](Reply r) {
+                [this, sent, agent_epoch, alive = std::weak_ptr<Worker*>(self_)](Reply r) {
                     if (alive.expired() || !alive_) return;
-                    if (!hung()) return answered(session, sent, r);
+                    if (!hung()) return answered(agent_epoch, sent, r);
                     // A machine that hangs reads it when it goes on, if it isn't too late by then.
-                    world_.at(hung_until_, [this, sent, session, r, alive] {
+                    world_.at(hung_until_, [this, sent, agent_epoch, r, alive] {
                         if (alive.expired() || !alive_) return;
                         if (world_.now() - sent > 4s)
-                            answered(session, sent, Reply{});
+                            answered(agent_epoch, sent, Reply{});
                         else
-                            answered(session, sent, r);
+                            answered(agent_epoch, sent, r);
                     });
                 });
 }
 
-void Worker::answered(std::uint64_t session, Nanos sent, const Reply& reply) {
-    if (session != session_) return;
+void Worker::answered(std::uint64_t agent_epoch, Nanos sent, const Reply& reply) {
+    if (agent_epoch != agent_epoch_) return;
     if (world_.now() - lease_from_ > rules_.lease) return end_session();
     in_flight_ = false;
     if (reply.status == 421) {
@@ -266,18 +267,19 @@
 }
 
 Response Worker::command(const Json& body) {
-    auto fencing_token = wire::parse_fencing_token(body), session = wire::parse_session(body);
+    auto fencing_token = wire::parse_fencing_token(body), agent_epoch = wire::parse_agent_epoch(body);
     auto commands = wire::parse_commands(body);
-    if (!fencing_token || !session || !commands) return {400, {{"error", "token and session"}}};
+    if (!fencing_token || !agent_epoch || !commands) return {400, {{"error", "token and session"}}};
     if (world_.now() - lease_from_ > rules_.lease) end_session();
-    if (*fencing_token < fencing_token_ || *session != session_) return {409, wire::report_json(say())};
+    if (*fencing_token < fencing_token_ || *agent_epoch != agent_epoch_)
+        return {409, wire::worker_heartbeat_json(say())};
     if (*fencing_token > fencing_token_) {
         fencing_token_ = *fencing_token;
         if (world_.now() - fencing_token_told_ > rules_.lease / 2)
             fencing_token_told_ = world_.now(), changed();
     }
     carry_out(*commands);
-    return {200, wire::report_json(say())};
+    return {200, wire::worker_heartbeat_json(say())};
 }
 
 }  // namespace barrowrun::sim
--- a/tests/sim/worker.hpp
+++ b/tests/sim/worker.hpp
@@ -8,7 +8,7 @@
 namespace barrowrun::sim {
 
 struct WorkerRules {
-    Nanos lease{12s}, report{3s};
+    Nanos lease{12s}, heartbeat{3s};
 };
 
 class Worker {
@@ -34,12 +34,13 @@
     wire::Resources room() const;
     bool runs(const std::string& job) const;
     std::vector<std::string> jobs() const;  // of which it has tasks that go on
-    // Of its reports one in so many arrives once more at every node: whenever what is handed over is called.
+    // Of its heartbeats one in so many arrives once more at every node: whenever what is handed over is
+    // called.
     using Copies = std::function<void(std::function<void()> arrive)>;
     void copy_reports(std::uint64_t one_in, Nanos length, Copies copies) {
         copies_one_in_ = one_in, copies_until_ = world_.now() + length, copies_ = std::move(copies);
     }
-    std::uint64_t session() const { return session_; }
+    std::uint64_t agent_epoch() const { return agent_epoch_; }
 
   private:
     struct Task {
@@ -49,8 +50,8 @@
         Nanos ready{0}, since{0}, ends{0}, saved_at{0};  // since: in its state
     };
     void step();
-    void report();
-    void answered(std::uint64_t session, Nanos sent, const Reply& reply);
+    void heartbeat();
+    void answered(std::uint64_t agent_epoch, Nanos sent, const Reply& reply);
     void carry_out(const std::vector<wire::Command>& commands);
     void exit(const wire::Attempt& a, Task& t, wire::Cause cause);
     void end_session();
@@ -59,7 +60,7 @@
     void image_is_here(const wire::Attempt& a, Task& t, const wire::JobSpec* spec);
     void step_gang(const wire::Attempt& a, Task& t, const wire::JobSpec& spec);
     void receive(Json body, Answer answer);
-    wire::Report say();
+    wire::WorkerHeartbeat say();
     Response command(const Json& body);
     void changed() { next_ = std::min(next_, std::max(world_.now(), last_sent_ + 500ms)); }
     World& world_;
@@ -70,7 +71,7 @@
     Checker::Where where_;
     wire::Resources capacity_;
     bool alive_ = true, in_flight_ = false;
-    std::uint64_t session_ = 1, seq_ = 0, fencing_token_ = 0, copies_one_in_ = 0, late_one_in_ = 1;
+    std::uint64_t agent_epoch_ = 1, seq_ = 0, fencing_token_ = 0, copies_one_in_ = 0, late_one_in_ = 1;
     std::optional<Nanos> ends_at_;  // as the cloud announced it
     std::size_t node_ = 0;
     Nanos lease_from_, next_, last_sent_{-1s}, fencing_token_told_{-1000s}, hung_until_{0}, copies_until_{0},
--- a/tests/spill_test.cpp
+++ b/tests/spill_test.cpp
@@ -28,7 +28,7 @@
     return d;
 }
 Candidate job(const std::string& id, std::uint32_t waiting, const std::string& team = "desk") {
-    return {id, team, wire::Sort::array, {1, 0, 1}, waiting, 60s};
+    return {id, team, wire::JobKind::array, {1, 0, 1}, waiting, 60s};
 }
 
 }  // namespace
@@ -208,9 +208,9 @@
     f.cluster->take_borrowed_changes();
     std::vector<TaskStatus> ended;
     for (auto& a : f.on("n-1")) ended.push_back({a, TaskState::exited, Cause::done, false});
-    f.cluster->on_report(f.report("n-1", ended), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", ended), true, f.now);
     EXPECT_EQ(f.cluster->take_borrowed_changes().size(), 1u);
-    for (auto& w : f.write()) EXPECT_TRUE(state::parse_sheet_key(w.key)) << w.key;
+    for (auto& w : f.write()) EXPECT_TRUE(state::parse_assignment_shard_key(w.key)) << w.key;
     auto reaps = [&] {
         int n = 0;
         for (auto& c : f.cluster->push_commands(f.machine("n-1"), f.now)) n += c.verb == Verb::reap;
@@ -237,9 +237,9 @@
     EXPECT_EQ(f.on("n-1").size(), 3u);
     std::vector<TaskStatus> ended;
     for (auto& a : f.on("n-1")) ended.push_back({a, TaskState::exited, Cause::done, false});
-    f.cluster->on_report(f.report("n-1", ended), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat("n-1", ended), true, f.now);
     f.write();
-    EXPECT_EQ(job.standing(), wire::Standing::running);
+    EXPECT_EQ(job.job_state(), wire::JobState::running);
     // All of it is done, and not over before the part is closed.
     for (std::uint32_t i = 3; i < 10; ++i) f.cluster->finish_away(job, i);
     f.write();
@@ -247,7 +247,7 @@
     f.cluster->take_back(job, away, away);
     f.write();
     EXPECT_EQ(f.cluster->find_job("wk-1"), nullptr);
-    EXPECT_EQ(f.cluster->past("wk-1")->standing, wire::Standing::done);
+    EXPECT_EQ(f.cluster->past("wk-1")->state, wire::JobState::done);
 }
 
 TEST(Lent, WhatComesBackUndoneWaitsAgain) {
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -2,8 +2,8 @@
 // A fake clock and a small fleet for the decision tests.
 #include <gtest/gtest.h>
 
+#include "autoscaler/autoscaler.hpp"
 #include "placement/cluster.hpp"
-#include "renting/renting.hpp"
 
 namespace barrowrun::testing {
 
@@ -14,10 +14,10 @@
 using wire::Attempt;
 using wire::Cause;
 using wire::Command;
-using wire::Report;
 using wire::TaskState;
 using wire::TaskStatus;
 using wire::Verb;
+using wire::WorkerHeartbeat;
 
 // Rules of a fleet whose workers are always answered: no lease runs out.
 inline placement::Rules without_leases() {
@@ -48,9 +48,9 @@
                 cluster.add_job(record, progress ? &*progress : nullptr, now, wall);
             }
         for (auto& [key, value] : values)
-            if (auto n = state::parse_sheet_key(key)) {
-                auto sheet = state::parse_sheet(value);
-                for (auto& r : *sheet) cluster.inherit(*n, r, now, wall);
+            if (auto n = state::parse_assignment_shard_key(key)) {
+                auto shard = state::parse_assignment_shard(value);
+                for (auto& r : *shard) cluster.recover_machine(*n, r, now, wall);
             }
     }
 };
@@ -88,16 +88,16 @@
     }
     Job& add(const wire::JobSpec& s) { return cluster->add_job({s, wall++}, nullptr, now, wall); }
     // A report of the machine; everything the cluster holds as sent is left as given.
-    Report report(const std::string& name, std::vector<TaskStatus> tasks = {},
-                  std::uint64_t fencing_token = 10, const std::string& zone = "a",
-                  const std::string& type = "small", bool spot = false) {
-        Report r;
+    WorkerHeartbeat heartbeat(const std::string& name, std::vector<TaskStatus> tasks = {},
+                              std::uint64_t fencing_token = 10, const std::string& zone = "a",
+                              const std::string& type = "small", bool spot = false) {
+        WorkerHeartbeat r;
         r.machine = name;
         r.address = "127.0.0.1:9";
         r.type = type;
         r.zone = zone;
         r.spot = spot;
-        r.session = 1;
+        r.agent_epoch = 1;
         r.seq = ++seq[name];
         r.fencing_token = fencing_token;
         r.tasks = std::move(tasks);
@@ -105,7 +105,7 @@
     }
     Machine& up(const std::string& name, const std::string& zone = "a", const std::string& type = "small",
                 bool spot = false) {
-        cluster->on_report(report(name, {}, 10, zone, type, spot), true, now);
+        cluster->on_heartbeat(heartbeat(name, {}, 10, zone, type, spot), true, now);
         return *cluster->find_machine(name);
     }
     Machine& machine(const std::string& name) { return *cluster->find_machine(name); }
@@ -113,8 +113,8 @@
     static std::map<std::string, std::vector<Attempt>> recorded(const std::vector<placement::Write>& writes) {
         std::map<std::string, std::vector<Attempt>> out;
         for (auto& w : writes) {
-            if (!state::parse_sheet_key(w.key)) continue;
-            auto records = state::parse_sheet(*w.value);
+            if (!state::parse_assignment_shard_key(w.key)) continue;
+            auto records = state::parse_assignment_shard(*w.value);
             for (auto& r : *records) out[r.name] = r.attempts;
         }
         return out;
@@ -128,17 +128,18 @@
     }
     std::vector<Attempt> on(const std::string& name) {
         std::vector<Attempt> out;
-        for (auto& [a, e] : machine(name).entries) out.push_back(a);
+        for (auto& [a, e] : machine(name).assignments) out.push_back(a);
         return out;
     }
     // Pushes what is to be sent, and answers with a report that shows the launches running.
     std::vector<Command> run(const std::string& name) {
         auto commands = cluster->push_commands(machine(name), now);
         std::vector<TaskStatus> tasks;
-        for (auto& [a, e] : machine(name).entries)
+        for (auto& [a, e] : machine(name).assignments)
             tasks.push_back({a, TaskState::running, Cause::none, false});
         cluster->push_answered(machine(name), commands, cluster->fencing_token(), true, false, now);
-        cluster->on_report(report(name, tasks, cluster->fencing_token(), machine(name).zone), false, now);
+        cluster->on_heartbeat(heartbeat(name, tasks, cluster->fencing_token(), machine(name).zone), false,
+                              now);
         return commands;
     }
     void place_all() {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -23,7 +23,7 @@
 TEST(Submission, TakesWhatTheProtocolShowsAndSurvivesARoundTrip) {
     ASSERT_TRUE(valid(good()));
     auto spec = std::get<JobSpec>(parse_submission(good()));
-    EXPECT_EQ(spec.sort, Sort::gang);
+    EXPECT_EQ(spec.kind, JobKind::gang);
     EXPECT_EQ(spec.priority, Priority::high);
     EXPECT_EQ(spec.tasks, 16u);
     EXPECT_EQ(*spec.deadline_s, 900.0);
@@ -84,7 +84,7 @@
     EXPECT_TRUE(decode(encode(good())));
 }
 
-TEST(Report, IsReadWholeOrNotAtAll) {
+TEST(WorkerHeartbeat, IsReadWholeOrNotAtAll) {
     Json j{{"barrow", "n-1"},
            {"endpoint", "10.1.0.1:9"},
            {"build", "g8"},
@@ -100,18 +100,18 @@
               {"standing", "ended"},
               {"cause", "stopped"},
               {"stored", true}}}}};
-    auto r = parse_report(j);
+    auto r = parse_worker_heartbeat(j);
     ASSERT_TRUE(r);
     EXPECT_EQ(r->tasks[0].attempt.task.str(), "wk-1/3");
     EXPECT_EQ(r->tasks[0].cause, Cause::stopped);
-    EXPECT_TRUE(r->tasks[0].saved);
+    EXPECT_TRUE(r->tasks[0].checkpointed);
     // Absence from a report is proof, so a task that can't be read must not be dropped from it.
     j["parcels"][0]["standing"] = "dreaming";
-    EXPECT_FALSE(parse_report(j));
+    EXPECT_FALSE(parse_worker_heartbeat(j));
     j["parcels"][0]["standing"] = "running";
     j["parcels"][0]["parcel"] = "wk-1";
-    EXPECT_FALSE(parse_report(j));
+    EXPECT_FALSE(parse_worker_heartbeat(j));
     j["parcels"] = Json::array();
     j.erase("tally");
-    EXPECT_FALSE(parse_report(j));
+    EXPECT_FALSE(parse_worker_heartbeat(j));
 }
--- a/tests/worker_test.cpp
+++ b/tests/worker_test.cpp
@@ -15,10 +15,10 @@
     TimePoint now = TimePoint{} + 1000s;
     Times times{3s, 20s, 30s, 4s, 500ms};
     Machine m{"n-1", "127.0.0.1:1", "box", "a", false, {4, 0, 8}, times, 1, now};
-    wire::JobSpec spec(double cpus = 1, wire::Sort sort = wire::Sort::array) {
+    wire::JobSpec spec(double cpus = 1, wire::JobKind kind = wire::JobKind::array) {
         wire::JobSpec s;
         s.id = "wk-1";
-        s.sort = sort;
+        s.kind = sort;
         s.tasks = 4;
         s.need = {cpus, 0, 1};
         return s;
@@ -27,8 +27,8 @@
         return {{"wk-1", index}, number};
     }
     bool push(Verb verb, const Attempt& a, double grace = 0, std::uint64_t fencing_token = 5,
-              std::uint64_t session = 1) {
-        return m.commanded(fencing_token, session, {{verb, a, grace}}, now);
+              std::uint64_t agent_epoch = 1) {
+        return m.commanded(fencing_token, agent_epoch, {{verb, a, grace}}, now);
     }
     void run(const Attempt& a, const wire::JobSpec& s) {
         push(Verb::launch, a);
@@ -41,13 +41,13 @@
         return out;
     }
     const wire::TaskStatus* status(const Attempt& a) {
-        last = m.report(now);
+        last = m.heartbeat(now);
         for (auto& t : last.tasks)
             if (t.attempt == a) return &t;
         return nullptr;
     }
     Cause cause(const Attempt& a) { return status(a) ? status(a)->cause : Cause::none; }
-    wire::Report last;
+    wire::WorkerHeartbeat last;
 };
 
 }  // namespace
@@ -86,7 +86,7 @@
     EXPECT_EQ(w.cause(Worker::attempt(9)), Cause::unknown);
 }
 
-TEST(Worker, LowerTokensAndOtherSessionsCommandNothing) {
+TEST(Worker, LowerTokensAndOtherAgentEpochsCommandNothing) {
     Worker w;
     EXPECT_TRUE(w.m.commanded(5, 1, {}, w.now));
     EXPECT_FALSE(w.push(Verb::launch, Worker::attempt(0), 0, 4));
@@ -98,7 +98,7 @@
     EXPECT_EQ(w.m.fencing_token(), 9u);
 }
 
-TEST(Worker, OnlyAnsweredReportsRenewTheLeaseAndItsEndEndsTheSession) {
+TEST(Worker, OnlyAnsweredHeartbeatsRenewTheLeaseAndItsEndEndsTheAgentEpoch) {
     Worker w;
     auto a = Worker::attempt(0);
     w.run(a, w.spec());
@@ -106,19 +106,19 @@
     EXPECT_TRUE(w.m.commanded(5, 1, {}, w.now));
     w.now += 4s;
     w.m.tick(w.now);
-    EXPECT_EQ(w.m.session(), 1u);
+    EXPECT_EQ(w.m.agent_epoch(), 1u);
     EXPECT_TRUE(w.m.may_publish(a, w.now));
     w.now += 2s;
     EXPECT_FALSE(w.m.may_publish(a, w.now));
     w.m.tick(w.now);
-    EXPECT_EQ(w.m.session(), 2u);
+    EXPECT_EQ(w.m.agent_epoch(), 2u);
     EXPECT_EQ(w.actions(), std::vector<Action::Kind>{Action::kill});
-    // The next session's first report says that nothing is left: not before it is so.
+    // The next agent epoch's first heartbeat says that nothing is left: not before it is so.
     EXPECT_TRUE(w.m.ending());
     EXPECT_FALSE(w.push(Verb::launch, Worker::attempt(1), 0, 5, 2));
     w.m.exited(a, true, false);
     EXPECT_FALSE(w.m.ending());
-    EXPECT_TRUE(w.m.report(w.now).tasks.empty());
+    EXPECT_TRUE(w.m.heartbeat(w.now).tasks.empty());
     EXPECT_TRUE(w.push(Verb::launch, Worker::attempt(1), 0, 5, 2));
 }
 
@@ -128,16 +128,16 @@
     // It hung; a command that was under way comes as it goes on.
     w.now += 60s;
     EXPECT_FALSE(w.push(Verb::launch, Worker::attempt(1)));
-    EXPECT_EQ(w.m.session(), 2u);
-    // So does the answer to a report of the old session.
+    EXPECT_EQ(w.m.agent_epoch(), 2u);
+    // So does the answer to a report of the old agent epoch.
     EXPECT_FALSE(w.m.answered(5, 1, {}, w.now - 61s, w.now));
 }
 
-TEST(Worker, AnAnswerCountsFromWhenItsReportWasSent) {
+TEST(Worker, AnAnswerCountsFromWhenItsHeartbeatWasSent) {
     Worker w;
     w.now += 10s;
     EXPECT_TRUE(w.m.answered(5, 1, {}, w.now - 8s, w.now));
-    EXPECT_EQ(w.m.lease_end(), w.now - 8s + 20s);
+    EXPECT_EQ(w.m.lease_expiry(), w.now - 8s + 20s);
 }
 
 TEST(Worker, KillsWithGraceSaveAndOthersDoNot) {
@@ -169,7 +169,7 @@
 
 TEST(Worker, GangTasksWaitMeetAndNoticeLostPeers) {
     Worker w;
-    auto s = w.spec(1, wire::Sort::gang);
+    auto s = w.spec(1, wire::JobKind::gang);
     auto a = Worker::attempt(0), b = Worker::attempt(1);
     w.push(Verb::launch, a);
     w.m.fetched(a, &s, w.now);
