--- a/bench/quota_bench.cpp
+++ b/bench/quota_bench.cpp
@@ -26,7 +26,7 @@
 }
 
 struct Fleet {
-    placement::Rules rules;
+    placement::Config rules;
     std::unique_ptr<placement::Cluster> cluster;
     TimePoint now = TimePoint{} + std::chrono::seconds(1000);
     std::vector<std::uint64_t> seq;
@@ -58,14 +58,14 @@
             }
             cluster->add_job({s, static_cast<std::int64_t>(k)}, nullptr, now, 0);
         }
-        for (std::size_t i = 0; i < machines / 25; ++i) cluster->round(now);
+        for (std::size_t i = 0; i < machines / 25; ++i) cluster->schedule_round(now);
         write();
         for (std::size_t i = 0; i < machines; ++i) heartbeat(i, false);
         // Files the machines that have all just reported: else the first measured round would, and its share
         // of the mean grew with the fleet (2.75 times from 1,000 to 10,000 machines, over 400 rounds).
-        cluster->round(now);
+        cluster->schedule_round(now);
         write();
-        cluster->take_touched();
+        cluster->take_machines_with_commands();
     }
     void write() {
         for (auto& w : cluster->take_writes(100'000, 1 << 30, now, 0))
@@ -92,10 +92,10 @@
     for (auto _ : state) {
         f.now += std::chrono::milliseconds(1);
         f.heartbeat(f.turn++ % f.machines, true);
-        f.cluster->round(f.now);
+        f.cluster->schedule_round(f.now);
         state.PauseTiming();
         f.write();
-        f.cluster->take_touched();
+        f.cluster->take_machines_with_commands();
         state.ResumeTiming();
     }
 }
--- a/bench/quota_day.cpp
+++ b/bench/quota_day.cpp
@@ -75,9 +75,9 @@
             if (cluster_) {
                 for (int i = 0; i < machines; ++i) talk(i);
                 if (tick % 2 == 0) cluster_->tick(now_);
-                cluster_->round(now_);
+                cluster_->schedule_round(now_);
                 write();
-                for (auto& name : cluster_->take_touched()) push(name);
+                for (auto& name : cluster_->take_machines_with_commands()) push(name);
             }
             if (tick % 10 == 9) sample();
         }
@@ -278,7 +278,7 @@
     }
 
     std::mt19937_64 random_;
-    placement::Rules rules_;
+    placement::Config rules_;
     quota::TreePtr tree_;
     std::unique_ptr<placement::Cluster> cluster_;
     std::vector<Worker> workers_;
--- a/src/api/cells.cpp
+++ b/src/api/cells.cpp
@@ -80,7 +80,7 @@
         }
         // Open parts stay away until their neighbour says that they are over.
         if (auto* j = host_.cluster.find_job(job); j && record->record.open)
-            host_.cluster.lend(*j, record->record.tasks);
+            host_.cluster.delegate(*j, record->record.tasks);
         lent_[job] = {record->to, cells::Lender(record->record)};
     }
     for (auto& [key, record] : held_records_) {
@@ -101,8 +101,8 @@
         }
         Holding h{record->owner, record->spec, record->accepted_ms, cells::Borrower(record->record)};
         h.borrower.runs();  // until the cluster says that nothing of it is there
-        host_.cluster.add_borrowed({h.spec, h.accepted_ms}, record->record.tasks, record->record.done, now,
-                                   wall_ms);
+        host_.cluster.add_delegated_shard({h.spec, h.accepted_ms}, record->record.tasks, record->record.done,
+                                          now, wall_ms);
         held_[job] = std::move(h);
     }
     lent_records_.items.clear();
@@ -154,14 +154,14 @@
     for (int level = 0; level < wire::priority_levels; ++level)
         for (auto& place : cluster.queue().level(level)) {
             auto* job = cluster.find_job(place.id);
-            if (!job || job->cancelled || job->borrowed) continue;
+            if (!job || job->cancelled || job->runs_for_origin_cell) continue;
             if (auto l = lent_.find(place.id); l != lent_.end() && l->second.lender.away()) continue;
             waiting.push_back({place.id, job->spec.team, job->spec.kind, job->spec.need, job->waiting.size(),
                                now - job->accepted});
         }
     for (auto& s : spiller_.choose(settings_, waiting, now, most_parts - open)) {
         auto* job = cluster.find_job(s.job);
-        auto tasks = cluster.lend(*job, s.tasks);
+        auto tasks = cluster.delegate(*job, s.tasks);
         if (tasks.empty()) continue;
         auto& l = lent_[s.job];
         l.to = s.to;
@@ -196,7 +196,7 @@
             const auto tasks = l.lender.tasks();
             for (auto& [from, to] : write->done.ranges())
                 for (auto i = from; i < to; ++i) {
-                    if (!job->done.contains(i)) host_.cluster.finish_away(*job, i);
+                    if (!job->done.contains(i)) host_.cluster.finish_delegated(*job, i);
                     if (!job->durable_done.contains(i)) {
                         host_.wake_writes();
                         return;
@@ -214,7 +214,7 @@
                                    it->second.lender.wrote();
                                    if (it->second.lender.away()) return;
                                    if (auto* j = host_.cluster.find_job(id)) {
-                                       host_.cluster.take_back(*j, before, done);
+                                       host_.cluster.reclaim_delegated(*j, before, done);
                                        spdlog::info(
                                            "the part of {} is back from cell {}: {} tasks done there", id,
                                            it->second.to, done.size());
@@ -291,7 +291,7 @@
     digest_made_ = now;
     cells::Digest d;
     d.waiting = host_.cluster.queue().waiting();
-    host_.cluster.free_rooms(now, [&](const wire::Resources& r) { d.add(r); });
+    host_.cluster.for_each_free_capacity(now, [&](const wire::Resources& r) { d.add(r); });
     digest_ = cells::to_json(d);
     return digest_;
 }
@@ -354,7 +354,7 @@
 }
 
 void Cells::stop_borrowed(const std::string& id) {
-    if (auto* job = host_.cluster.find_job(id); job && job->borrowed && !job->cancelled)
+    if (auto* job = host_.cluster.find_job(id); job && job->runs_for_origin_cell && !job->cancelled)
         host_.cluster.cancel(*job, Clock::now());
 }
 
@@ -368,7 +368,7 @@
 }
 
 void Cells::look_at_borrowed() {
-    for (auto& id : host_.cluster.take_borrowed_changes()) {
+    for (auto& id : host_.cluster.take_changed_delegated_shards()) {
         auto it = held_.find(id);
         auto* job = host_.cluster.find_job(id);
         if (it == held_.end() || !job) continue;
@@ -383,7 +383,7 @@
     for (auto& [id, h] : held_)
         if (h.borrower.stopping()) {
             auto* job = host_.cluster.find_job(id);
-            if (!job || job->places.empty()) {
+            if (!job || job->placements.empty()) {
                 h.borrower.gone();
                 pump(id);
             }
@@ -422,16 +422,17 @@
     auto* job = cluster.find_job(id);
     if (record.holding && !held_before) {
         spdlog::info("{} tasks of {} come from cell {}", record.tasks.size(), id, h.owner);
-        cluster.add_borrowed({h.spec, h.accepted_ms}, record.tasks, record.done, Clock::now(), wall_ms());
+        cluster.add_delegated_shard({h.spec, h.accepted_ms}, record.tasks, record.done, Clock::now(),
+                                    wall_ms());
         h.borrower.runs();
         host_.wake_places();
     } else if (record.holding && job) {
-        cluster.borrowed_recorded(*job, record.done);
-    } else if (!record.holding && held_before && job && job->borrowed) {
+        cluster.delegated_results_recorded(*job, record.done);
+    } else if (!record.holding && held_before && job && job->runs_for_origin_cell) {
         spdlog::info("the part of {} goes back to cell {}: {} tasks done here", id, h.owner,
                      record.done.size());
-        cluster.borrowed_recorded(*job, record.done);
-        cluster.drop_borrowed(*job);
+        cluster.delegated_results_recorded(*job, record.done);
+        cluster.drop_delegated_shard(*job);
     }
     pump(id);
 }
--- a/src/api/cloud.cpp
+++ b/src/api/cloud.cpp
@@ -52,11 +52,11 @@
                     spdlog::info("machine {} ({}, {}) is listed and not known", l.name, l.type, l.zone);
                     m = &cluster_.add_machine(l.name, l.type, l.zone, l.spot, now);
                     m->provisioned_at = now - secs(l.age_s);
-                    cluster_.mark_machine_dirty(l.name);
+                    cluster_.mark_machine_changed(l.name);
                 }
                 if (m->address.empty() && !l.address.empty()) {
                     m->address = l.address;
-                    cluster_.mark_machine_dirty(l.name);
+                    cluster_.mark_machine_changed(l.name);
                 }
             }
             if (!failed.empty()) spawn("return failed", give_back(failed, false));
@@ -133,7 +133,7 @@
                     continue;  // the answer to a repeat, which names what it named before
                 auto& m = cluster_.add_machine(name, record.type, record.zone, record.spot, sent);
                 m.provisioned_at = sent;
-                cluster_.mark_machine_dirty(name);
+                cluster_.mark_machine_changed(name);
             }
             if (static_cast<int>(result.machines.size()) < record.count)
                 autoscaler_.refused(offer, Clock::now());
--- a/src/api/leader.cpp
+++ b/src/api/leader.cpp
@@ -39,7 +39,7 @@
 std::optional<leases::RenewalGrant> Leader::grant() const {
     if (!loaded_ || services_.settings.lease_renewal_period() <= Clock::duration::zero()) return std::nullopt;
     return leases::RenewalGrant{services_.election.fencing_token(), renewal_bound_.timestamp_ms(Clock::now()),
-                                false, cluster_.holding_cancelled()};
+                                false, cluster_.machines_with_cancelled_tasks()};
 }
 
 std::optional<leases::RenewalGrant> Leader::heard(const std::string& node,
@@ -62,7 +62,7 @@
 
 void Leader::add(const state::JobRecord& record) {
     // A job that this term saw end must not come back by a notice that was under way.
-    if (cluster_.find_job(record.spec.id) || cluster_.past(record.spec.id)) return;
+    if (cluster_.find_job(record.spec.id) || cluster_.finished_job(record.spec.id)) return;
     auto now = Clock::now();
     cluster_.add_job(record, nullptr, now, wall_ms());
     autoscaler_.note_arrival(record.spec, now);
@@ -75,7 +75,7 @@
 
 Task<> Leader::accepted(std::string id) {
     auto self = shared_from_this();
-    if (!loaded_ || cluster_.find_job(id) || cluster_.past(id)) co_return;
+    if (!loaded_ || cluster_.find_job(id) || cluster_.finished_job(id)) co_return;
     // The notice may be old: the record tells whether the job is still active.
     auto value = co_await services_.state.get(state::job_key(id));
     if (value.outcome != Outcome::ok || stopped_) co_return;
@@ -110,10 +110,11 @@
     if (!loaded_) return std::nullopt;
     if (auto it = cluster_.jobs().find(id); it != cluster_.jobs().end()) {
         auto& job = *it->second;
-        if (job.unsettled()) return std::nullopt;
+        if (job.write_outcome_unknown()) return std::nullopt;
         return wire::JobStatus{id, job.job_state(), job.done.size(), job.running(), job.error_count};
     }
-    if (auto past = cluster_.past(id)) return wire::JobStatus{id, past->state, past->done, 0, past->errors};
+    if (auto past = cluster_.finished_job(id))
+        return wire::JobStatus{id, past->state, past->done, 0, past->errors};
     return std::nullopt;
 }
 
@@ -121,14 +122,15 @@
     auto self = shared_from_this();
     const Response later{503, {{"error", "not now"}}, 1};
     if (!loaded_ || !may_act()) co_return later;
-    if (!cluster_.find_job(id) && !cluster_.past(id)) {
+    if (!cluster_.find_job(id) && !cluster_.finished_job(id)) {
         auto record = co_await services_.state.get(state::job_key(id));
         if (record.outcome == Outcome::ok) {
             if (auto parsed = state::parse_job_record(record.value)) add(*parsed);
         } else if (record.outcome == Outcome::absent) {
-            auto past = co_await services_.state.get(state::past_key(id));
+            auto past = co_await services_.state.get(state::finished_key(id));
             if (past.outcome == Outcome::ok) {
-                if (auto parsed = state::parse_past(past.value)) cluster_.remember_past(id, *parsed);
+                if (auto parsed = state::parse_finished_record(past.value))
+                    cluster_.remember_finished_job(id, *parsed);
             } else if (past.outcome == Outcome::absent) {
                 co_return Response{404, {{"error", "no such job"}}};
             } else {
@@ -141,7 +143,8 @@
     auto until = Clock::now() + 3s;
     bool asked = false;
     while (may_act() && Clock::now() < until) {
-        if (auto past = cluster_.past(id)) co_return Response{200, wire::accepted_json(id, past->state)};
+        if (auto past = cluster_.finished_job(id))
+            co_return Response{200, wire::accepted_json(id, past->state)};
         auto* job = cluster_.find_job(id);
         if (!job) co_return later;
         auto job_state = job->job_state();
@@ -172,7 +175,7 @@
         }
         if (Clock::now() - acquired_ < 150ms) co_await net::sleep_for(100ms);
         if (cells_) cells_->stop_in_time();
-        cluster_.round(Clock::now());
+        cluster_.schedule_round(Clock::now());
         if (cluster_.has_writes()) write_wake_.wake();
         send_touched();
         // What comes in close together is placed in one round, and written in one transaction.
@@ -270,7 +273,7 @@
         bool any_up = false;
         std::size_t up = 0;
         for (auto& [name, m] : cluster_.machines()) {
-            cluster_.touch(name);
+            cluster_.note_command(name);
             up += m->up;
             any_up |= m->up || !m->assignments.empty();
             if (!m->up && !m->address.empty() && now - m->probed > 2s && m->assignments.size() > 0) {
@@ -325,7 +328,8 @@
             services_.election.step_down(15s);
             co_return;
         }
-        if (cluster_.unsettled(now) && !refreshing_fencing_token_ && services_.state.responsive(now)) {
+        if (cluster_.has_unanswered_launch(now) && !refreshing_fencing_token_ &&
+            services_.state.responsive(now)) {
             refreshing_fencing_token_ = true;
             spawn("renew token", refresh_fencing_token());
         }
@@ -340,14 +344,14 @@
 }
 
 void Leader::say_served(TimePoint now) {
-    using State = placement::ServedWatch::State;
-    for (auto& line : cluster_.watch_served(now)) {
-        if (line.state == State::fine)
+    using State = placement::StarvationMonitor::State;
+    for (auto& line : cluster_.check_starvation(now)) {
+        if (line.state == State::healthy)
             spdlog::info("{} is served again: {:.0f} % of its jobs", line.group, 100 * line.share);
         else
             spdlog::warn("{} is {}: {:.0f} % of its jobs are served, {:.0f} should have started", line.group,
-                         line.state == State::below ? "served less than half" : "in danger", 100 * line.share,
-                         line.waiting);
+                         line.state == State::starved ? "served less than half" : "in danger",
+                         100 * line.share, line.waiting);
     }
 }
 
--- a/src/api/node_jobs.cpp
+++ b/src/api/node_jobs.cpp
@@ -48,9 +48,9 @@
     } else if (job.outcome != Outcome::absent) {
         co_return look;
     }
-    auto past = co_await get(state::past_key(id));
+    auto past = co_await get(state::finished_key(id));
     if (past.outcome == Outcome::ok) {
-        auto p = state::parse_past(past.value);
+        auto p = state::parse_finished_record(past.value);
         if (!p) co_return look;
         look.known_outcome = true;
         look.status = wire::JobStatus{id, p->state, p->done, 0, p->errors};
--- a/src/api/node_submissions.cpp
+++ b/src/api/node_submissions.cpp
@@ -96,7 +96,7 @@
     for (int attempt = 0; attempt < most_write_attempts; ++attempt) {
         std::vector<state::Precondition> preconditions;
         preconditions.push_back({state::job_key(id), 0});
-        preconditions.push_back({state::past_key(id), 0});
+        preconditions.push_back({state::finished_key(id), 0});
         std::vector<state::Operation> operations;
         operations.push_back({state::job_key(id), state::to_json(record), 0});
         auto term = leader_;
--- a/src/api/takeover.cpp
+++ b/src/api/takeover.cpp
@@ -65,7 +65,8 @@
         auto records = state::parse_assignment_shard(item.value);
         if (!number || !records) {
             spdlog::error("the record {} cannot be read: nothing is started for a lease", item.key);
-            cluster_.distrust_records(number, acquired_ + longer(secs(services_.settings.rules.lease_s)));
+            cluster_.note_unreadable_record(number,
+                                            acquired_ + longer(secs(services_.settings.rules.lease_s)));
             continue;
         }
         for (auto& record : *records) cluster_.recover_machine(*number, record, acquired_, wall);
--- a/src/api/workers.cpp
+++ b/src/api/workers.cpp
@@ -54,7 +54,7 @@
 
 void Leader::send_touched() {
     auto now = Clock::now();
-    for (auto& name : cluster_.take_touched()) {
+    for (auto& name : cluster_.take_machines_with_commands()) {
         auto* m = cluster_.find_machine(name);
         if (!m || m->pushing || !m->push_reachable || !m->up || m->address.empty() || m->returning) continue;
         bool wanted = false;
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -66,7 +66,7 @@
     for (auto& [name, t] : cluster.types())
         if (s.need.fits({t.cpus, t.gpus, t.mem_gb}) && !cluster.gpu_reserved(s, t))
             boot = std::min(boot, t.boot_s);
-    return std::any_of(cluster.rules().objectives.begin(), cluster.rules().objectives.end(), [&](auto& o) {
+    return std::any_of(cluster.config().objectives.begin(), cluster.config().objectives.end(), [&](auto& o) {
         return o.kind == "wait" && o.job_class == s.job_class && o.within_s < slow_boot * boot;
     });
 }
@@ -86,7 +86,7 @@
     // Made once: rooms gathered anew for each of 600 candidates took the leader's share for half a second.
     std::vector<std::pair<const Machine*, wire::Resources>> all, room;
     for (auto& [name, m] : cluster.machines())
-        if (cluster.usable(*m, now) && m->has_live()) all.emplace_back(m.get(), m->available());
+        if (cluster.schedulable(*m, now) && m->has_live()) all.emplace_back(m.get(), m->available());
     for (auto& [candidate, own_room] : all) {
         const Machine& m = *candidate;
         if (m.live() > 16 || now - m.provisioned_at < secs(90)) continue;
@@ -109,7 +109,7 @@
             need = spec.need;
             auto target = std::find_if(room.begin(), room.end(), [&](auto& r) {
                 const Machine& o = *r.first;
-                return o.zone == m.zone && cluster.allowed(spec, o) && o.has_image(spec.image) &&
+                return o.zone == m.zone && cluster.eligible(spec, o) && o.has_image(spec.image) &&
                        spec.need.fits(r.second);
             });
             if (target == room.end()) {
@@ -146,7 +146,7 @@
         auto blend = [](double& mean, double x) { mean += 0.01 * (x - mean); };
         blend(d.like.need.cpus, job->spec.need.cpus);
         blend(d.like.need.mem_gb, job->spec.need.mem_gb);
-        d.now += job->waiting.size() + static_cast<std::uint32_t>(job->places.size());
+        d.now += job->waiting.size() + static_cast<std::uint32_t>(job->placements.size());
     }
     for (auto& [name, d] : demand_) {
         while (!d.peaks.empty() && d.peaks.back().second <= d.now) d.peaks.pop_back();
@@ -214,7 +214,7 @@
             if (job == cluster.jobs().end() || job->second->spec.kind != JobKind::array) continue;
             double ran = e.started_at == TimePoint{} ? 0 : Seconds(now - e.started_at).count();
             b.array_cpus += e.need.cpus;
-            double rest = std::max(2.0, job->second->run_guess() - ran);
+            double rest = std::max(2.0, job->second->estimated_run_s() - ran);
             b.committed += e.need.cpus * rest;
             if (rest <= usual_boot) turning[{m->spot, e.need.cpus}] += relied_on * e.need.cpus;
         }
@@ -241,7 +241,7 @@
     // that takes a task only becomes the better choice for the next one, so each is filled in turn: one look
     // at every bin for a job, not one for each of its tasks.
     auto cover = [&](const Job* job, const wire::JobSpec& s, std::uint32_t n, Soft soft) {
-        Cluster::Zones zones(cluster, s, job);
+        Cluster::ZoneConstraint zones(cluster, s, job);
         for (std::size_t i = 0; i < offers.size(); ++i)
             suitable[i] = suits(s, offers[i].type, offers[i].zone, offers[i].spot);
         auto reach = [&](const Bin& b) {
@@ -251,7 +251,7 @@
             return room;
         };
         auto fill = [&](Bin& b, std::uint32_t& k) {
-            while (k < n && s.need.fits(reach(b)) && zones.ok(offers[b.offer].zone)) {
+            while (k < n && s.need.fits(reach(b)) && zones.allows(offers[b.offer].zone)) {
                 b.room -= s.need;
                 b.used = true;
                 zones.add(offers[b.offer].zone);
@@ -279,7 +279,7 @@
             std::size_t pick = 0;
             double pick_cost = 0;
             for (std::size_t i = 0; i < offers.size(); ++i) {
-                if (!suitable[i] || !zones.ok(offers[i].zone)) continue;
+                if (!suitable[i] || !zones.allows(offers[i].zone)) continue;
                 const auto& t = cluster.types().at(offers[i].type);
                 wire::Resources whole{t.cpus, t.gpus, t.mem_gb};
                 if (!s.need.fits(whole)) continue;
@@ -325,14 +325,14 @@
             std::uint32_t n = allowed_of(job, job.waiting.size());
             if (job.spec.kind == JobKind::array) {
                 // Tasks that run one after the other on the same slot need fewer slots.
-                double run = job.run_guess() + 1;
-                double time = cluster.time_left(job, now);
+                double run = job.estimated_run_s() + 1;
+                double time = cluster.objective_slack_s(job, now);
                 double left = std::max(run, time);
-                double total = static_cast<double>(n) + static_cast<double>(job.places.size());
+                double total = static_cast<double>(n) + static_cast<double>(job.placements.size());
                 // Not where all should start before the first could have ended.
                 auto slots = static_cast<std::uint32_t>(
                     std::ceil(cannot_wait_for_boots(cluster, job.spec) ? total : total * run / (left + run)));
-                auto running = static_cast<std::uint32_t>(job.places.size());
+                auto running = static_cast<std::uint32_t>(job.placements.size());
                 double work = static_cast<double>(n) * run * job.spec.need.cpus;
                 n = std::min(n, slots > running ? slots - running : 0);
                 // What the fleet will have done by then anyway, with all that comes first, needs no renting.
@@ -390,8 +390,8 @@
     if (headroom.tasks > 0) {
         headroom.spread = headroom.one_zone = false;
         headroom_tasks = static_cast<std::uint32_t>(
-            std::clamp(std::ceil(tasks / 120 * 45), static_cast<double>(cluster.rules().headroom_min),
-                       std::max<double>(cluster.rules().headroom_min, cluster.rules().headroom_max)));
+            std::clamp(std::ceil(tasks / 120 * 45), static_cast<double>(cluster.config().headroom_min),
+                       std::max<double>(cluster.config().headroom_min, cluster.config().headroom_max)));
         cover(nullptr, headroom, headroom_tasks, Soft::all);
     }
     note_demand(cluster, now);
@@ -411,7 +411,7 @@
         auto& m = *cluster.machines().at(b.name);
         if (!m.up) continue;
         // A minute is charged in any case; after that a little patience, since work comes all the time.
-        if (now - m.idle_since > secs(cluster.rules().idle_return_s) && now - m.provisioned_at > secs(55))
+        if (now - m.idle_since > secs(cluster.config().idle_return_s) && now - m.provisioned_at > secs(55))
             out.scale_in.push_back(b.name);
     }
     // Where room is kept for arrays, what it frees would be kept as well: replicas would move for nothing.
--- a/src/fleet/machine.hpp
+++ b/src/fleet/machine.hpp
@@ -79,7 +79,7 @@
     bool pushing = false, probing = false;
     int missed_probes = 0;          // questions in a row that it did not answer
     int errors = 0, successes = 0;  // failures in a row
-    int blamed = 0;                 // of them, those of jobs that run well elsewhere
+    int attributed_errors = 0;      // of them, those of jobs that run well elsewhere
     TimePoint last_error{};
     std::optional<TimePoint>
         quarantined_since;  // it fails what it starts: nothing new for it, what runs goes on
@@ -87,7 +87,7 @@
     wire::Resources capacity;
     // In a placing round: room, and what of it is kept for tasks that lower work was stopped for.
     wire::Resources free, reserved;
-    bool refile = false;  // its place among the rooms is out of date
+    bool capacity_stale = false;  // its place among the rooms is out of date
     double cache_gb = 0, fetch_gb_per_s = 0.1;
     std::unordered_map<wire::Attempt, Assignment, wire::AttemptHash> assignments;
     std::list<std::pair<std::string, double>> images;  // most recently used first, as far as we can tell
--- a/src/placement/attempts.cpp
+++ b/src/placement/attempts.cpp
@@ -5,12 +5,12 @@
 #include <cmath>
 
 #include "placement/cluster.hpp"
-#include "placement/faults.hpp"
+#include "placement/failure_attribution.hpp"
 
 namespace barrowrun::placement {
 namespace {
 // Names remembered: some fleets' worth.
-constexpr std::size_t most_gone = 50'000;
+constexpr std::size_t max_removed_names = 50'000;
 }  // namespace
 using fleet::AssignmentChange;
 using wire::Cause;
@@ -39,7 +39,7 @@
         m.cache_gb = t->second.cache_gb;
         m.fetch_gb_per_s = t->second.fetch_gb_per_s;
     }
-    rooms_.changed(m);
+    capacity_index_.changed(m);
     return m;
 }
 
@@ -62,7 +62,7 @@
             if (job->cancelled) e.stop_requested = true;
         } else {
             e.stop_requested = true;
-            strangers_.insert(a.task.job);
+            unknown_jobs_.insert(a.task.job);
         }
         m.assignments.emplace(a, e);
     }
@@ -70,7 +70,7 @@
 
 void Cluster::machine_gone(const std::string& name, const char* proof, TimePoint now) {
     if (gone_.insert(name).second) gone_order_.push_back(name);
-    if (gone_order_.size() > most_gone) {
+    if (gone_order_.size() > max_removed_names) {
         gone_.erase(gone_order_.front());
         gone_order_.pop_front();
     }
@@ -87,11 +87,11 @@
     apply(m, changes, now);
     // In no hurry: a record may name what is gone, never the other way round.
     shards_.remove_machine(name);
-    rooms_.removed(m);
+    capacity_index_.removed(m);
     machines_.erase(it);
 }
 
-void Cluster::lease_over(Machine& m, TimePoint now) {
+void Cluster::expire_lease(Machine& m, TimePoint now) {
     // The worker has killed and forgotten everything; launches still on their way name its old agent epoch.
     std::vector<AssignmentChange> changes;
     std::size_t n = m.live();
@@ -110,7 +110,7 @@
         known = &add_machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, now);
         spdlog::info("machine {} ({}, {}{}) sent its first heartbeat", heartbeat.machine, heartbeat.type,
                      heartbeat.zone, heartbeat.spot ? ", spot" : "");
-        mark_machine_dirty(heartbeat.machine);
+        mark_machine_changed(heartbeat.machine);
     }
     Machine& m = *known;
     bool first = !m.up;
@@ -124,11 +124,11 @@
                 m.capacity = {t->second.cpus, t->second.gpus, t->second.mem_gb};
                 m.cache_gb = t->second.cache_gb;
             }
-            rooms_.changed(m);
+            capacity_index_.changed(m);
         }
         m.idle_since = now;
         // The address must be on record: a successor asks every known worker.
-        if (m.address != old_address) mark_machine_dirty(m.name);
+        if (m.address != old_address) mark_machine_changed(m.name);
     }
     apply(m, changes, now);
     reconcile_reported(m, now);
@@ -137,7 +137,7 @@
 }
 
 void Cluster::apply(Machine& m, const std::vector<AssignmentChange>& changes, TimePoint now) {
-    if (!changes.empty()) rooms_.changed(m);
+    if (!changes.empty()) capacity_index_.changed(m);
     for (auto& c : changes) {
         Job* job = find_job(c.attempt.task.job);
         auto index = c.attempt.task.index;
@@ -153,7 +153,8 @@
                 auto it = m.assignments.find(c.attempt);
                 if (it == m.assignments.end()) break;
                 if (!job) {
-                    if (!past_.contains(c.attempt.task.job)) strangers_.insert(c.attempt.task.job);
+                    if (!finished_jobs_.contains(c.attempt.task.job))
+                        unknown_jobs_.insert(c.attempt.task.job);
                     break;
                 }
                 occupy(*job, c.attempt, it->second, m);
@@ -180,14 +181,14 @@
 }
 
 void Cluster::ended(Machine& m, const Attempt& a, const Assignment& e, TimePoint now) {
-    touch(m.name);
+    note_command(m.name);
     Job* job = find_job(a.task.job);
     if (!job || a.task.index >= job->spec.tasks) return;
     bool counted = e.started_at != TimePoint{} && e.started_at > e.placed_at;
     double ran = counted ? Seconds(now - e.started_at).count() : 0;
     switch (e.cause) {
         case Cause::done:
-            faults::succeeded(m);
+            failure_attribution::record_success(m);
             job->errors_in_row = 0;
             if (counted && job->spec.kind == JobKind::array) {
                 job->run_sum += ran;
@@ -202,15 +203,15 @@
         case Cause::error: {
             job->failed_on.insert(m.name);
             count_error(*job, m, a, now);
-            const bool machines_fault = runs_well(*job, now);
-            faults::failed(m, machines_fault, now);
+            const bool machines_fault = has_proven_run(*job, now);
+            failure_attribution::record_failure(m, machines_fault, now);
             if (!machines_fault) {
                 job->errors_in_row++;
                 // One that fails wherever it goes speaks against itself: replicas must not be kept off every
                 // machine that it has tried.
                 if (job->failed_on.size() >= 3)
                     for (auto& name : job->failed_on)
-                        if (Machine* tried = find_machine(name); tried && tried->blamed == 0)
+                        if (Machine* tried = find_machine(name); tried && tried->attributed_errors == 0)
                             tried->errors = 0;
                 // A job that fails everywhere must not burn machines: its tries grow rarer.
                 job->retry_at =
@@ -244,19 +245,19 @@
     for (auto& [a, e] : m.assignments) {
         if (e.phase != AssignmentPhase::confirmed) continue;
         if (e.exited()) {
-            touch(m.name);
+            note_command(m.name);
             continue;
         }
         if (e.stop_requested) continue;
         Job* job = find_job(a.task.job);
         if (!job) {
-            note_stop(m, a, e, 0, now, "of no known job");
+            request_stop(m, a, e, 0, now, "of no known job");
         } else if (job->cancelled) {
-            note_stop(m, a, e, 0, now, "of a cancelled job");
+            request_stop(m, a, e, 0, now, "of a cancelled job");
         } else if (job->done.contains(a.task.index)) {
-            if (job->spec.kind != JobKind::gang) note_stop(m, a, e, 0, now, "done elsewhere");
-        } else if (auto it = job->places.find(a.task.index);
-                   it != job->places.end() && it->second.size() > 1) {
+            if (job->spec.kind != JobKind::gang) request_stop(m, a, e, 0, now, "done elsewhere");
+        } else if (auto it = job->placements.find(a.task.index);
+                   it != job->placements.end() && it->second.size() > 1) {
             // Only records of a predecessor can name two places; the others resolve by themselves.
             for (auto& [name, number] : it->second) {
                 if (name == m.name && number == a.number) continue;
@@ -269,23 +270,23 @@
                     !o->second.exited() && other->fencing_token_seen >= first_fencing_token_ &&
                     number < a.number) {
                     spdlog::error("{} is on {} and on {}", a.task.str(), name, m.name);
-                    note_stop(m, a, e, 0, now, "also elsewhere");
+                    request_stop(m, a, e, 0, now, "also elsewhere");
                 }
             }
         }
     }
 }
 
-void Cluster::note_stop(Machine& m, const Attempt& a, Assignment& e, double grace, TimePoint now,
-                        const char* why) {
+void Cluster::request_stop(Machine& m, const Attempt& a, Assignment& e, double grace, TimePoint now,
+                           const char* why) {
     if (e.exited()) return;
     if (e.stop_requested && e.grace_s <= grace) return;
     spdlog::debug("stop {} on {}: {}", a.task.str(), m.name, why);
     e.stop_requested = true;
     e.grace_s = grace;
     e.stop_at = now;
-    touch(m.name);
-    rooms_.changed(m);
+    note_command(m.name);
+    capacity_index_.changed(m);
 }
 
 bool Cluster::runs_service(const Machine& m) const {
@@ -294,11 +295,11 @@
 }
 
 void Cluster::stop_gang(Job& job, double grace, TimePoint now, const char* why) {
-    for (auto& [index, list] : job.places)
+    for (auto& [index, list] : job.placements)
         for (auto& [name, number] : list)
             if (Machine* m = find_machine(name)) {
                 auto it = m->assignments.find({{job.spec.id, index}, number});
-                if (it != m->assignments.end()) note_stop(*m, it->first, it->second, grace, now, why);
+                if (it != m->assignments.end()) request_stop(*m, it->first, it->second, grace, now, why);
             }
 }
 
@@ -320,7 +321,7 @@
     for (auto& a : dropped) {
         release(m.assignments.at(a));
         m.assignments.erase(a);
-        rooms_.changed(m);
+        capacity_index_.changed(m);
         if (Job* job = find_job(a.task.job)) unplace(*job, a.task.index, m.name, a.number);
     }
 }
@@ -372,7 +373,7 @@
     }
 }
 
-bool Cluster::unsettled(TimePoint now) const {
+bool Cluster::has_unanswered_launch(TimePoint now) const {
     for (auto& [name, m] : machines_)
         for (auto& [a, e] : m->assignments)
             if (e.launch_unanswered && e.sent_fencing_token >= fencing_token_ &&
--- /dev/null
+++ b/src/placement/capacity_index.cpp
@@ -0,0 +1,88 @@
+#include "placement/capacity_index.hpp"
+
+#include <algorithm>
+
+namespace barrowrun::placement {
+
+wire::Resources AttainableCapacity::up_to_level(int level) const {
+    auto all = free;
+    all += stopping;
+    all += preemptible[static_cast<std::size_t>(level)];
+    return all;
+}
+
+AttainableCapacity attainable_capacity(const Machine& m) {
+    AttainableCapacity out;
+    out.free = m.capacity;
+    for (auto& [a, e] : m.assignments) {
+        if (e.exited()) continue;
+        out.free -= e.need;
+        if (e.stop_requested) {
+            out.stopping += e.need;
+            out.has_stopping = true;
+            out.may_free.fill(true);
+        }
+        for (std::size_t level = 0; level < out.preemptible.size(); ++level)
+            if (e.preemptible_by(static_cast<wire::Priority>(level))) {
+                out.preemptible[level] += e.need;
+                out.may_free[level] = true;
+            }
+    }
+    return out;
+}
+
+void CapacityIndex::changed(Machine& m) {
+    if (m.capacity_stale) return;
+    m.capacity_stale = true;
+    changed_.push_back(&m);
+}
+
+void CapacityIndex::removed(Machine& m) {
+    if (auto it = indexed_.find(&m); it != indexed_.end()) {
+        unlink(*it->second);
+        indexed_.erase(it);
+    }
+    if (m.capacity_stale) std::erase(changed_, &m);
+    m.capacity_stale = false;
+}
+
+void CapacityIndex::unlink(IndexedMachine& indexed) {
+    if (!indexed.machine_class) return;
+    indexed.machine_class->by_free.erase(&indexed);
+    if (indexed.capacity.has_stopping) indexed.machine_class->stopping.erase(&indexed);
+    for (std::size_t level = 0; level < indexed.capacity.may_free.size(); ++level)
+        if (indexed.capacity.may_free[level]) indexed.machine_class->may_free[level].erase(&indexed);
+}
+
+void CapacityIndex::link(IndexedMachine& indexed) {
+    indexed.machine_class->by_free.insert(&indexed);
+    if (indexed.capacity.has_stopping) indexed.machine_class->stopping.insert(&indexed);
+    for (std::size_t level = 0; level < indexed.capacity.may_free.size(); ++level)
+        if (indexed.capacity.may_free[level]) indexed.machine_class->may_free[level].insert(&indexed);
+}
+
+void CapacityIndex::refresh() {
+    for (Machine* m : changed_) {
+        m->capacity_stale = false;
+        auto [it, fresh] = indexed_.try_emplace(m);
+        if (fresh) {
+            it->second = std::make_unique<IndexedMachine>();
+            it->second->machine = m;
+        }
+        IndexedMachine& indexed = *it->second;
+        unlink(indexed);
+        // A machine that is known by its name alone says its type with its first heartbeat.
+        auto& sort = classes_[{m->type, m->zone, m->spot}];
+        if (!sort) {
+            sort = std::make_unique<MachineClass>();
+            sort->type = m->type, sort->zone = m->zone, sort->spot = m->spot;
+        }
+        indexed.machine_class = sort.get();
+        indexed.capacity = attainable_capacity(*m);
+        m->free = indexed.capacity.free;
+        link(indexed);
+    }
+    changed_.clear();
+}
+
+}  // namespace barrowrun::placement
--- a/src/placement/rooms.hpp
+++ b/src/placement/capacity_index.hpp
@@ -18,43 +18,46 @@
 using fleet::Machine;
 
 // What a machine has, from all that may be on it.
-struct Tally {
+struct AttainableCapacity {
     wire::Resources free;      // capacity less all of it
     wire::Resources stopping;  // what was told to stop and is not out yet
-    bool stops = false;
+    bool has_stopping = false;
     // By the level that asks: work below it that may be stopped; whether there is any, or anything stopping.
-    std::array<wire::Resources, wire::priority_levels> yields{};
-    std::array<bool, wire::priority_levels> lower{};
+    std::array<wire::Resources, wire::priority_levels> preemptible{};
+    std::array<bool, wire::priority_levels> may_free{};
     // The most that could be free for the level.
-    wire::Resources reach(int level) const;
+    wire::Resources up_to_level(int level) const;
 };
-Tally tally(const Machine& m);
+AttainableCapacity attainable_capacity(const Machine& m);
 
-class Rooms {
+class CapacityIndex {
   public:
-    struct Alike;
-    struct Filed {
+    struct MachineClass;
+    struct IndexedMachine {
         Machine* machine = nullptr;
-        Alike* alike = nullptr;
-        Tally tally;
+        MachineClass* machine_class = nullptr;
+        AttainableCapacity capacity;
     };
     struct ByName {
-        bool operator()(const Filed* a, const Filed* b) const { return a->machine->name < b->machine->name; }
+        bool operator()(const IndexedMachine* a, const IndexedMachine* b) const {
+            return a->machine->name < b->machine->name;
+        }
     };
-    struct MostFree {
-        bool operator()(const Filed* a, const Filed* b) const {
-            if (a->tally.free.cpus != b->tally.free.cpus) return a->tally.free.cpus > b->tally.free.cpus;
+    struct MostFreeFirst {
+        bool operator()(const IndexedMachine* a, const IndexedMachine* b) const {
+            if (a->capacity.free.cpus != b->capacity.free.cpus)
+                return a->capacity.free.cpus > b->capacity.free.cpus;
             return a->machine->name < b->machine->name;
         }
     };
-    using Set = std::set<Filed*, ByName>;
+    using Set = std::set<IndexedMachine*, ByName>;
     // Machines of one type, zone and kind: a job may use all of them or none.
-    struct Alike {
+    struct MachineClass {
         std::string type, zone;
         bool spot = false;
-        std::set<Filed*, MostFree> by_free;
+        std::set<IndexedMachine*, MostFreeFirst> by_free;
         Set stopping;
-        std::array<Set, wire::priority_levels> lower;
+        std::array<Set, wire::priority_levels> may_free;
     };
 
     // Something that may be on the machine came, went or was told to stop, or what the machine is was learnt.
@@ -62,28 +65,29 @@
     void removed(Machine& m);
     // Brings everything up to date, and `free` of each machine that changed.
     void refresh();
-    const std::map<std::tuple<std::string, std::string, bool>, std::unique_ptr<Alike>>& alike() const {
-        return alike_;
+    const std::map<std::tuple<std::string, std::string, bool>, std::unique_ptr<MachineClass>>& classes()
+        const {
+        return classes_;
     }
     // Rises whenever a new sort of machines appears.
-    std::uint64_t sorts() const { return alike_.size(); }
-    const Filed& filed(const Machine& m) const { return *filed_.at(&m); }
-    std::size_t size() const { return filed_.size(); }
+    std::uint64_t class_count() const { return classes_.size(); }
+    const IndexedMachine& find(const Machine& m) const { return *indexed_.at(&m); }
+    std::size_t size() const { return indexed_.size(); }
 
     // Calls f for each machine of these that has at least the CPUs free; the rest is the caller's to check.
     template <class F>
-    static void with_free(const Alike& those, const wire::Resources& need, F f) {
-        for (auto* filed : those.by_free) {
-            if (filed->tally.free.cpus < need.cpus - 1e-3) break;
-            f(*filed);
+    static void for_each_with_free_cpus(const MachineClass& those, const wire::Resources& need, F f) {
+        for (auto* indexed : those.by_free) {
+            if (indexed->capacity.free.cpus < need.cpus - 1e-3) break;
+            f(*indexed);
         }
     }
 
   private:
-    void take_out(Filed& filed);
-    void put_in(Filed& filed);
-    std::map<std::tuple<std::string, std::string, bool>, std::unique_ptr<Alike>> alike_;
-    std::unordered_map<const Machine*, std::unique_ptr<Filed>> filed_;
+    void unlink(IndexedMachine& indexed);
+    void link(IndexedMachine& indexed);
+    std::map<std::tuple<std::string, std::string, bool>, std::unique_ptr<MachineClass>> classes_;
+    std::unordered_map<const Machine*, std::unique_ptr<IndexedMachine>> indexed_;
     std::vector<Machine*> changed_;
 };
 
--- a/src/placement/cluster.cpp
+++ b/src/placement/cluster.cpp
@@ -19,7 +19,7 @@
 wire::JobState Job::job_state() const {
     if (cancel_durable) return failed ? wire::JobState::failed : wire::JobState::cancelled;
     if (finished() && durable_done.size() == spec.tasks) return wire::JobState::done;
-    return places.empty() && away.empty() ? wire::JobState::queued : wire::JobState::running;
+    return placements.empty() && delegated.empty() ? wire::JobState::queued : wire::JobState::running;
 }
 
 std::vector<quota::Team> quota_teams(const std::map<std::string, TeamLimits>& teams) {
@@ -33,9 +33,10 @@
 }
 
 namespace {
-quota::TreePtr first_tree(const Rules& rules) {
-    auto teams = quota_teams(rules.teams);
-    if (auto built = quota::Tree::build(rules.quotas.value_or(std::vector<quota::Line>{}), teams); built.tree)
+quota::TreePtr first_tree(const Config& config) {
+    auto teams = quota_teams(config.teams);
+    if (auto built = quota::Tree::build(config.quotas.value_or(std::vector<quota::Line>{}), teams);
+        built.tree)
         return built.tree;
     // Settings are checked when they are read. A platform's own team with a guarantee beyond its limit can
     // still come here: its limit is the rule.
@@ -45,11 +46,11 @@
 }
 }  // namespace
 
-Cluster::Cluster(Rules rules)
-    : rules_(std::move(rules)),
-      queue_(rules_.queue_bound),
-      shards_(rules_.value_bytes),
-      ledger_(first_tree(rules_)) {}
+Cluster::Cluster(Config config)
+    : config_(std::move(config)),
+      queue_(config_.queue_bound),
+      shards_(config_.value_bytes),
+      ledger_(first_tree(config_)) {}
 
 bool fits_type(const wire::JobSpec& spec, const wire::MachineType& t) {
     if (spec.types && std::find(spec.types->begin(), spec.types->end(), t.name) == spec.types->end())
@@ -67,9 +68,9 @@
     usual_boot_s_ = 0;
     for (auto& [name, t] : types_)
         if (t.gpus <= 0) usual_boot_s_ = std::max(usual_boot_s_, t.boot_s);
-    for (auto& [id, job] : jobs_) job->may_use_of = 0;
+    for (auto& [id, job] : jobs_) job->candidate_class_count = 0;
     for (auto& [name, m] : machines_) {
-        rooms_.changed(*m);
+        capacity_index_.changed(*m);
         auto it = types_.find(m->type);
         if (it == types_.end()) continue;
         m->capacity = {it->second.cpus, it->second.gpus, it->second.mem_gb};
@@ -100,8 +101,8 @@
         if (!free_shapes_.empty()) shape.number = free_shapes_.back(), free_shapes_.pop_back();
     }
     job.shape_number = shape.number;
-    for (auto& o : rules_.objectives)
-        if (o.job_class == s.job_class) job.aims.push_back(&o);
+    for (auto& o : config_.objectives)
+        if (o.job_class == s.job_class) job.objectives.push_back(&o);
     job.accepted = now - std::chrono::milliseconds(
                              std::clamp<std::int64_t>(wall_ms - record.accepted_ms, 0, 86'400'000));
     if (progress) {
@@ -124,14 +125,14 @@
     }
     // Workers may have reported tasks of it before this leader knew the job: they are on their machines. Only
     // then all of them are looked at.
-    if (strangers_.erase(job.spec.id) > 0)
+    if (unknown_jobs_.erase(job.spec.id) > 0)
         for (auto& [name, m] : machines_)
             for (auto& [a, e] : m->assignments)
                 if (a.task.job == job.spec.id && a.task.index < job.spec.tasks && !e.exited()) {
                     occupy(job, a, e, *m);
                 }
-    job.served = job.waiting.empty();
-    if (job.cancelled || job.finished()) mark_dirty(job);
+    job.fully_scheduled = job.waiting.empty();
+    if (job.cancelled || job.finished()) mark_write_pending(job);
     return job;
 }
 
@@ -147,9 +148,9 @@
     return it == jobs_.end() ? nullptr : it->second.get();
 }
 
-std::optional<state::PastRecord> Cluster::past(const std::string& id) const {
-    auto it = past_.find(id);
-    if (it == past_.end()) return std::nullopt;
+std::optional<state::FinishedRecord> Cluster::finished_job(const std::string& id) const {
+    auto it = finished_jobs_.find(id);
+    if (it == finished_jobs_.end()) return std::nullopt;
     return it->second;
 }
 
@@ -161,34 +162,35 @@
         job.waiting.erase(index);
     if (job.waiting.size() != before)
         queue_.set_waiting(job.spec.priority, {job.accepted_ms, job.spec.id}, before, job.waiting.size());
-    if (job.waiting.empty() && !job.cancelled) job.served = true;
+    if (job.waiting.empty() && !job.cancelled) job.fully_scheduled = true;
 }
 
 bool Cluster::overdue(const Job& job, TimePoint now) const {
     double patience = std::max(60.0, 2 * usual_boot_s_);
-    for (auto* aim : job.aims)
+    for (auto* aim : job.objectives)
         if (aim->kind == "wait") patience = std::max(patience, aim->within_s);
     // What its own limit keeps waiting is not denied by others.
     return now - job.accepted > secs(patience) && ledger_.admits(job.account, job.spec.need, 1);
 }
 
-std::vector<ServedWatch::Line> Cluster::watch_served(TimePoint now) {
-    served_.begin(now);
+std::vector<StarvationMonitor::Finding> Cluster::check_starvation(TimePoint now) {
+    starvation_.begin_pass(now);
     for (auto& [id, job] : jobs_) {
         if (job->cancelled) continue;
-        job->late = !job->served && overdue(*job, now);
-        if (job->served || job->late) served_.job(job->spec.job_class, job->spec.team, job->served);
+        job->objective_missed = !job->fully_scheduled && overdue(*job, now);
+        if (job->fully_scheduled || job->objective_missed)
+            starvation_.observe(job->spec.job_class, job->spec.team, job->fully_scheduled);
     }
-    return served_.end(now);
+    return starvation_.end_pass(now);
 }
 
-void Cluster::mark_dirty(Job& job) {
-    if (job.borrowed) {
-        borrowed_changes_.insert(job.spec.id);
+void Cluster::mark_write_pending(Job& job) {
+    if (job.runs_for_origin_cell) {
+        changed_delegated_shards_.insert(job.spec.id);
         return;
     }
-    job.dirty = true;
-    dirty_jobs_.insert(job.spec.id);
+    job.write_pending = true;
+    pending_jobs_.insert(job.spec.id);
 }
 
 void Cluster::cancel(Job& job, TimePoint now) {
@@ -197,43 +199,43 @@
     queue_.set_waiting(job.spec.priority, {job.accepted_ms, job.spec.id}, job.waiting.size(), 0);
     job.waiting = {};
     // Nobody has any use for what its tasks do from here on: no grace.
-    auto places = job.places;
-    for (auto& [index, list] : places)
+    auto placements = job.placements;
+    for (auto& [index, list] : placements)
         for (auto& [name, number] : list)
             if (Machine* m = find_machine(name)) {
                 Attempt a{{job.spec.id, index}, number};
                 auto it = m->assignments.find(a);
-                if (it != m->assignments.end()) note_stop(*m, a, it->second, 0, now, "cancelled");
+                if (it != m->assignments.end()) request_stop(*m, a, it->second, 0, now, "cancelled");
             }
-    mark_dirty(job);
+    mark_write_pending(job);
 }
 
-std::set<std::string> Cluster::holding_cancelled() const {
+std::set<std::string> Cluster::machines_with_cancelled_tasks() const {
     std::set<std::string> out;
     for (auto& [id, job] : jobs_)
         if (job->cancelled)
-            for (auto& [index, list] : job->places)
+            for (auto& [index, list] : job->placements)
                 for (auto& [name, number] : list) out.insert(name);
     return out;
 }
 
 void Cluster::unplace(Job& job, std::uint32_t index, const std::string& machine, std::uint64_t attempt) {
-    auto it = job.places.find(index);
-    if (it != job.places.end()) {
+    auto it = job.placements.find(index);
+    if (it != job.placements.end()) {
         std::erase(it->second, std::pair(machine, attempt));
         if (!it->second.empty()) return;
-        job.places.erase(it);
+        job.placements.erase(it);
     }
     if (!job.done.contains(index) && !job.cancelled && !job.unrecorded_errors.contains(error_key(job, index)))
         set_waiting(job, index, true);
-    if ((job.cancelled || job.finished()) && job.places.empty()) mark_dirty(job);
+    if ((job.cancelled || job.finished()) && job.placements.empty()) mark_write_pending(job);
 }
 
 void Cluster::finish_task(Job& job, std::uint32_t index) {
     if (!job.done.insert(index)) return;
     set_waiting(job, index, false);
     job.errors.erase(index);
-    mark_dirty(job);
+    mark_write_pending(job);
 }
 
 // ---- failures that count -------------------------------------------------------------------------------
@@ -249,9 +251,9 @@
     job.unrecorded_errors.insert(key);
     job.error_count->errors++;
     job.error_count->last = wire::Failure{a.task.str(), m.name, a.number};
-    mark_dirty(job);
+    mark_write_pending(job);
     // The record names every task that failed and is not done; one that would outgrow its value ends the job.
-    bool too_many = job.errors.size() > rules_.value_bytes / 64;
+    bool too_many = job.errors.size() > config_.value_bytes / 64;
     if (errors.count <= *job.spec.retries && !too_many) return;
     spdlog::info("job {} has failed: {} failed {} times, last on {}{}", job.spec.id, a.task.str(),
                  errors.count, m.name, too_many ? ", as did too many other tasks" : "");
@@ -272,7 +274,7 @@
         if (job.cancelled) continue;
         const bool gang = job.spec.kind == JobKind::gang;
         for (std::uint32_t i = gang ? 0 : key; i < (gang ? job.spec.tasks : key + 1); ++i)
-            if (!job.places.contains(i) && !job.done.contains(i)) set_waiting(job, i, true);
+            if (!job.placements.contains(i) && !job.done.contains(i)) set_waiting(job, i, true);
     }
 }
 
--- a/src/placement/borrowed.cpp
+++ b/src/placement/delegation.cpp
@@ -5,43 +5,43 @@
 
 namespace barrowrun::placement {
 
-IndexSet Cluster::lend(Job& job, std::uint32_t most) {
+IndexSet Cluster::delegate(Job& job, std::uint32_t most) {
     IndexSet out;
-    if (job.cancelled || job.borrowed) return out;
+    if (job.cancelled || job.runs_for_origin_cell) return out;
     // The last in order go: the first are next here.
     std::uint32_t stay = job.waiting.size() - std::min(job.waiting.size(), most);
     job.waiting.each([&](std::uint32_t i) {
         if (stay > 0)
             --stay;
-        else if (!job.places.contains(i))
+        else if (!job.placements.contains(i))
             out.insert(i);
     });
-    lend(job, out);
+    delegate(job, out);
     return out;
 }
 
-void Cluster::lend(Job& job, const IndexSet& tasks) {
+void Cluster::delegate(Job& job, const IndexSet& tasks) {
     tasks.each([&](std::uint32_t i) {
         if (i >= job.spec.tasks || job.done.contains(i)) return;
         set_waiting(job, i, false);
-        job.away.insert(i);
+        job.delegated.insert(i);
     });
 }
 
-void Cluster::take_back(Job& job, const IndexSet& tasks, const IndexSet& done) {
+void Cluster::reclaim_delegated(Job& job, const IndexSet& tasks, const IndexSet& done) {
     tasks.each([&](std::uint32_t i) {
         if (i >= job.spec.tasks) return;
-        job.away.erase(i);
+        job.delegated.erase(i);
         if (done.contains(i))
             finish_task(job, i);
-        else if (!job.done.contains(i) && !job.cancelled && !job.places.contains(i))
+        else if (!job.done.contains(i) && !job.cancelled && !job.placements.contains(i))
             set_waiting(job, i, true);
     });
-    mark_dirty(job);
+    mark_write_pending(job);
 }
 
-Job& Cluster::add_borrowed(const state::JobRecord& record, const IndexSet& tasks, const IndexSet& done,
-                           TimePoint now, std::int64_t wall_ms) {
+Job& Cluster::add_delegated_shard(const state::JobRecord& record, const IndexSet& tasks, const IndexSet& done,
+                                  TimePoint now, std::int64_t wall_ms) {
     state::Progress progress;
     progress.done = IndexSet::full(record.spec.tasks);
     tasks.each([&](std::uint32_t i) {
@@ -49,25 +49,25 @@
     });
     Job& job = add_job(record, &progress, now, wall_ms);
     // If all of it was done it has been marked as any other job would be.
-    job.borrowed = true;
-    dirty_jobs_.erase(record.spec.id);
-    borrowed_changes_.insert(record.spec.id);
+    job.runs_for_origin_cell = true;
+    pending_jobs_.erase(record.spec.id);
+    changed_delegated_shards_.insert(record.spec.id);
     return job;
 }
 
-void Cluster::borrowed_recorded(Job& job, const IndexSet& done) {
+void Cluster::delegated_results_recorded(Job& job, const IndexSet& done) {
     job.durable_done.insert(done);
-    for (auto& [index, list] : job.places)
-        for (auto& [name, number] : list) touch(name);
+    for (auto& [index, list] : job.placements)
+        for (auto& [name, number] : list) note_command(name);
 }
 
-void Cluster::drop_borrowed(Job& job) {
+void Cluster::drop_delegated_shard(Job& job) {
     const auto id = job.spec.id;
-    for (auto& [index, list] : job.places)
-        for (auto& [name, number] : list) touch(name);
+    for (auto& [index, list] : job.placements)
+        for (auto& [name, number] : list) note_command(name);
     queue_.set_waiting(job.spec.priority, {job.accepted_ms, id}, job.waiting.size(), 0);
     drop_shape(job);
-    borrowed_changes_.erase(id);
+    changed_delegated_shards_.erase(id);
     jobs_.erase(id);
 }
 
@@ -75,9 +75,10 @@
     return std::any_of(types_.begin(), types_.end(), [&](auto& t) { return fits_type(spec, t.second); });
 }
 
-void Cluster::free_rooms(TimePoint now, const std::function<void(const wire::Resources&)>& each) const {
+void Cluster::for_each_free_capacity(TimePoint now,
+                                     const std::function<void(const wire::Resources&)>& each) const {
     for (auto& [name, m] : machines_)
-        if (usable(*m, now)) each(m->available());
+        if (schedulable(*m, now)) each(m->available());
 }
 
 }  // namespace barrowrun::placement
--- a/src/placement/eligibility.cpp
+++ b/src/placement/eligibility.cpp
@@ -5,10 +5,10 @@
 
 namespace barrowrun::placement {
 
-bool Cluster::usable(const Machine& m, TimePoint now) const {
+bool Cluster::schedulable(const Machine& m, TimePoint now) const {
     return m.up && !m.returning && !m.draining && !m.quarantined_since && !m.suspected &&
            !m.spot_reclaim_at && m.capacity.mem_gb > 0 &&
-           now - m.last_heartbeat < secs(rules_.heartbeat_s * 1.25 + 1.5);
+           now - m.last_heartbeat < secs(config_.heartbeat_s * 1.25 + 1.5);
 }
 
 bool Cluster::gpu_reserved(const wire::JobSpec& spec, const wire::MachineType& t) const {
@@ -20,8 +20,8 @@
     return false;
 }
 
-bool Cluster::allowed(const wire::JobSpec& spec, const std::string& type, const std::string& zone,
-                      bool spot) const {
+bool Cluster::eligible(const wire::JobSpec& spec, const std::string& type, const std::string& zone,
+                       bool spot) const {
     if (spot && !spec.spot_ok) return false;
     if (spec.zone && *spec.zone != zone) return false;
     if (spec.types && std::find(spec.types->begin(), spec.types->end(), type) == spec.types->end())
@@ -30,14 +30,15 @@
     return true;
 }
 
-const std::vector<const Rooms::Alike*>& Cluster::may_use(Job& job) {
-    if (job.may_use_of != rooms_.sorts()) {
-        job.may_use.clear();
-        for (auto& [key, those] : rooms_.alike())
-            if (allowed(job.spec, those->type, those->zone, those->spot)) job.may_use.push_back(those.get());
-        job.may_use_of = rooms_.sorts();
+const std::vector<const CapacityIndex::MachineClass*>& Cluster::candidate_classes(Job& job) {
+    if (job.candidate_class_count != capacity_index_.class_count()) {
+        job.candidate_classes.clear();
+        for (auto& [key, those] : capacity_index_.classes())
+            if (eligible(job.spec, those->type, those->zone, those->spot))
+                job.candidate_classes.push_back(those.get());
+        job.candidate_class_count = capacity_index_.class_count();
     }
-    return job.may_use;
+    return job.candidate_classes;
 }
 
 }  // namespace barrowrun::placement
--- a/src/placement/upkeep.cpp
+++ b/src/placement/expiry.cpp
@@ -2,7 +2,7 @@
 #include <map>
 
 #include "placement/cluster.hpp"
-#include "placement/faults.hpp"
+#include "placement/failure_attribution.hpp"
 
 namespace barrowrun::placement {
 using wire::JobKind;
@@ -18,15 +18,15 @@
     };
     for (auto& [name, mp] : machines_) {
         Machine& m = *mp;
-        if (!m.assignments.empty() && now >= m.lease_expiry(rules_.lease_s, answered(m.zone))) {
-            lease_over(m, now);
+        if (!m.assignments.empty() && now >= m.lease_expiry(config_.lease_s, answered(m.zone))) {
+            expire_lease(m, now);
             moved = true;
         }
         if (m.has_live()) m.idle_since = now;
-        faults::judge(m, now, [&] {
+        failure_attribution::update_quarantine(m, now, [&] {
             return std::any_of(jobs_.begin(), jobs_.end(), [&](auto& kv) {
                 return kv.second->failed_on.contains(m.name) &&
-                       (kv.second->failed_on.size() < 3 || runs_well(*kv.second, now));
+                       (kv.second->failed_on.size() < 3 || has_proven_run(*kv.second, now));
             });
         });
         if (m.spot_reclaim_at || m.draining) {
@@ -39,14 +39,14 @@
                     if (job->spec.kind == JobKind::gang)
                         stop_gang(*job, grace_for(*job), now, "its machine goes away");
                     else
-                        note_stop(m, a, e, grace_for(*job), now, "its machine goes away");
+                        request_stop(m, a, e, grace_for(*job), now, "its machine goes away");
                 } else if (m.draining && job->spec.kind != JobKind::gang) {
-                    note_stop(m, a, e, 0, now, "its machine is emptied");
+                    request_stop(m, a, e, 0, now, "its machine is emptied");
                 }
             }
         }
     }
-    shrink(now);
+    enforce_lowered_limits(now);
     return moved;
 }
 
--- a/src/placement/faults.cpp
+++ b/src/placement/failure_attribution.cpp
@@ -1,39 +1,39 @@
-#include "placement/faults.hpp"
+#include "placement/failure_attribution.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace barrowrun::placement::faults {
+namespace barrowrun::placement::failure_attribution {
 
-void succeeded(fleet::Machine& m) {
+void record_success(fleet::Machine& m) {
     m.successes++;
-    m.errors = m.blamed = 0;
+    m.errors = m.attributed_errors = 0;
 }
 
-void failed(fleet::Machine& m, bool job_runs_well, TimePoint now) {
+void record_failure(fleet::Machine& m, bool job_proven, TimePoint now) {
     m.errors++;
     m.last_error = now;
     // A few of these once held a whole urgent array back: the task goes elsewhere at once.
-    if (job_runs_well) m.blamed++;
+    if (job_proven) m.attributed_errors++;
 }
 
-bool trusted(const fleet::Machine& m, bool replica, bool failed_here, TimePoint now) {
-    if (m.errors == 0 || now - m.last_error > faulty_for) return true;
-    if (replica || (m.blamed > 0 && failed_here)) return false;
+bool may_take_work(const fleet::Machine& m, bool replica, bool failed_here, TimePoint now) {
+    if (m.errors == 0 || now - m.last_error > quarantine_time) return true;
+    if (replica || (m.attributed_errors > 0 && failed_here)) return false;
     return std::none_of(m.assignments.begin(), m.assignments.end(),
                         [&](auto& kv) { return !kv.second.exited() && kv.second.placed_at >= m.last_error; });
 }
 
-void judge(fleet::Machine& m, TimePoint now, const std::function<bool()>& speaks_against) {
-    if (m.quarantined_since && now - *m.quarantined_since > faulty_for && m.live() > 0) {
+void update_quarantine(fleet::Machine& m, TimePoint now, const std::function<bool()>& speaks_against) {
+    if (m.quarantined_since && now - *m.quarantined_since > quarantine_time && m.live() > 0) {
         // What held it may be over, and what runs on it keeps it rented: one trial.
         m.quarantined_since.reset();
         m.errors = 1;
-        m.blamed = 0;
+        m.attributed_errors = 0;
     }
     if (m.quarantined_since || m.draining || m.errors < 2) return;
-    bool faulty = m.blamed >= 2;
+    bool faulty = m.attributed_errors >= 2;
     if (!faulty && m.errors >= 3) {
         // Jobs that failed on few machines speak against it; one that fails wherever it goes does not. Each
         // job counts for itself: many faulty machines once shielded one another.
@@ -46,4 +46,4 @@
     m.quarantined_since = now;
 }
 
-}  // namespace barrowrun::placement::faults
+}  // namespace barrowrun::placement::failure_attribution
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -4,7 +4,8 @@
 
 namespace barrowrun::placement::preemption {
 
-std::vector<Step> plan(std::vector<Option> options, const wire::Resources& need, std::uint32_t tasks) {
+std::vector<Selection> plan(std::vector<Candidate> options, const wire::Resources& need,
+                            std::uint32_t tasks) {
     struct Priced {
         std::size_t option;
         double cost;
@@ -25,11 +26,11 @@
         if (need.fits(room) && used > 0) priced.push_back({i, cost, room});
     }
     std::stable_sort(priced.begin(), priced.end(), [](auto& x, auto& y) { return x.cost < y.cost; });
-    std::vector<Step> out;
+    std::vector<Selection> out;
     std::uint32_t found = 0;
     for (auto& p : priced) {
         if (found >= tasks) break;
-        Step step{p.option, {}, 0};
+        Selection step{p.option, {}, 0};
         for (auto& v : options[p.option].victims) step.stop.push_back(v.id);
         for (auto room = p.room; found < tasks && need.fits(room); room -= need) ++found, ++step.tasks;
         out.push_back(std::move(step));
--- a/src/placement/preemption.hpp
+++ b/src/placement/preemption.hpp
@@ -14,13 +14,13 @@
 };
 
 // A machine where tasks could be stopped. `room`: free already, or about to be.
-struct Option {
+struct Candidate {
     wire::Resources room;
     std::vector<Victim> victims;
     double cost = 0;  // of using it at all: its image is to be fetched
 };
 
-struct Step {
+struct Selection {
     std::size_t option;
     std::vector<std::size_t> stop;  // victims' ids
     std::uint32_t tasks;            // that will find room there
@@ -28,6 +28,6 @@
 
 // Room for up to `tasks` tasks, machine by machine, the cheapest first; on each as few victims as make one
 // task fit, and then as many tasks as fit that room.
-std::vector<Step> plan(std::vector<Option> options, const wire::Resources& need, std::uint32_t tasks);
+std::vector<Selection> plan(std::vector<Candidate> options, const wire::Resources& need, std::uint32_t tasks);
 
 }  // namespace barrowrun::placement::preemption
--- a/src/placement/guarantees.cpp
+++ b/src/placement/quota_enforcement.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 // Bounds what a round spends on plans, and what it stops at once: the next round goes on.
-constexpr std::size_t most_plans_a_round = 8;
-constexpr std::uint32_t most_tasks_a_plan = 64;
+constexpr std::size_t max_reclaim_plans_per_round = 8;
+constexpr std::uint32_t max_tasks_per_reclaim_plan = 64;
 // A replica that is stopped is missed by its users.
 constexpr double replica_loss = 100;
 }  // namespace
@@ -45,7 +45,7 @@
         }
 }
 
-double Cluster::loss(const Job& job, const Assignment& e, TimePoint now) const {
+double Cluster::preemption_cost(const Job& job, const Assignment& e, TimePoint now) const {
     double ran = e.started_at == TimePoint{} ? 0 : Seconds(now - e.started_at).count();
     double lost = e.checkpoints ? std::min(ran, 2.0) + job.spec.save_s : ran;
     // A start counts for its users only if the task is left alone for a while.
@@ -53,14 +53,14 @@
     return (lost + 2) * std::max(0.1, e.need.cpus) + (job.spec.kind == JobKind::service ? replica_loss : 0);
 }
 
-wire::Resources Cluster::coming(const Rooms::Filed& filed) {
-    wire::Resources room = filed.machine->unreserved();
-    room += filed.tally.stopping;
+wire::Resources Cluster::capacity_after_stops(const CapacityIndex::IndexedMachine& indexed) {
+    wire::Resources room = indexed.machine->unreserved();
+    room += indexed.capacity.stopping;
     return room;
 }
 
-Cluster::Held Cluster::held(const std::vector<Machine*>& hosts, TimePoint now) const {
-    Held out;
+Cluster::RunningWork Cluster::running_work(const std::vector<Machine*>& hosts, TimePoint now) const {
+    RunningWork out;
     std::unordered_map<std::string, std::uint32_t> number;
     for (std::uint32_t h = 0; h < hosts.size(); ++h) number[hosts[h]->name] = h;
     std::unordered_set<std::string> gangs;
@@ -70,13 +70,13 @@
             auto it = jobs_.find(a.task.job);
             if (it == jobs_.end()) continue;
             const Job& job = *it->second;
-            quota::Unit u{{{h, e.need}}, e.account, loss(job, e, now), e.checkpoints};
+            quota::Unit u{{{h, e.need}}, e.account, preemption_cost(job, e, now), e.checkpoints};
             if (job.spec.kind == JobKind::gang && job.spec.tasks > 1) {
                 // Whole or not at all. Its parts on other machines stand at a place after the last.
                 if (!gangs.insert(job.spec.id).second) continue;
                 u.parts.clear();
                 u.loss = 0;
-                for (auto& [index, list] : job.places)
+                for (auto& [index, list] : job.placements)
                     for (auto& [name, attempt] : list) {
                         auto m = machines_.find(name);
                         if (m == machines_.end()) continue;
@@ -86,7 +86,7 @@
                         u.parts.push_back(
                             {at == number.end() ? static_cast<std::uint32_t>(hosts.size()) : at->second,
                              part->second.need});
-                        u.loss += loss(job, part->second, now);
+                        u.loss += preemption_cost(job, part->second, now);
                     }
             }
             out.units.push_back(std::move(u));
@@ -97,7 +97,7 @@
 
 // The deepest guarantees first: a team's covers its projects against other teams, not one project against
 // what is promised to another.
-bool Cluster::serve_guarantees(TimePoint now, std::size_t& placed) {
+bool Cluster::schedule_guaranteed(TimePoint now, std::size_t& placed) {
     bool acted = false;
     const auto deepest = ledger_.deepest_unused();
     if (deepest == 0) return acted;
@@ -110,7 +110,7 @@
             if (!job->cancelled && now >= job->retry_at) order.push_back(job);
     for (auto depth = deepest; depth > 0; --depth)
         for (Job* job : order) {
-            if (placed >= most_starts_a_round) return acted;
+            if (placed >= max_starts_per_round) return acted;
             const auto& s = job->spec;
             auto covered = [&] {
                 return ledger_.covered_at(depth, job->account, s.need, job->waiting.size());
@@ -119,25 +119,27 @@
             if (n == 0) continue;
             const bool anywhere = !s.spread && !s.one_zone;
             if (s.kind == JobKind::gang) {
-                if (n < s.tasks || job->waiting.size() != s.tasks || !job->places.empty()) continue;
+                if (n < s.tasks || job->waiting.size() != s.tasks || !job->placements.empty()) continue;
                 if (place_gang(*job, now)) {
                     placed += s.tasks;
                     acted = true;
                     continue;
                 }
             } else {
-                auto served = serve(
-                    *job, static_cast<std::uint32_t>(std::min<std::size_t>(n, most_starts_a_round - placed)),
+                auto served = schedule_job(
+                    *job, static_cast<std::uint32_t>(std::min<std::size_t>(n, max_starts_per_round - placed)),
                     now, false, !misfits.contains(job->shape));
                 placed += served.placed;
                 acted |= served.placed > 0;
                 if (served.no_room && anywhere) misfits.insert(job->shape);
                 n = covered();
             }
-            if (n == 0 || plans >= most_plans_a_round || in_vain.contains({job->account, job->shape}))
+            if (n == 0 || plans >= max_reclaim_plans_per_round ||
+                in_vain.contains({job->account, job->shape}))
                 continue;
             ++plans;
-            if (reclaim(*job, std::min(n, s.kind == JobKind::gang ? s.tasks : most_tasks_a_plan), now))
+            if (reclaim_for_guarantee(
+                    *job, std::min(n, s.kind == JobKind::gang ? s.tasks : max_tasks_per_reclaim_plan), now))
                 acted = true;
             else
                 in_vain.emplace(job->account, job->shape);
@@ -147,11 +149,11 @@
 
 // Room for tasks of a job that its guarantee covers. Room that is being made already is kept for it, so that
 // nothing takes it meanwhile; the rest is taken from those that borrow.
-bool Cluster::reclaim(Job& job, std::uint32_t tasks, TimePoint now) {
+bool Cluster::reclaim_for_guarantee(Job& job, std::uint32_t tasks, TimePoint now) {
     const auto& s = job.spec;
     const bool whole = s.kind == JobKind::gang;
-    const Zones taken(*this, s, &job);
-    rooms_.refresh();
+    const ZoneConstraint taken(*this, s, &job);
+    capacity_index_.refresh();
     std::vector<std::string> zones{""};
     if (s.one_zone) {
         std::set<std::string> all;
@@ -168,16 +170,16 @@
             for (auto& [a, e] : m->assignments)
                 if (e.stop_requested && !e.exited() && e.account != quota::no_node)
                     ledger.release(e.account, e.need);
-            if ((!zone.empty() && m->zone != zone) || !usable(*m, now) || !allowed(s, *m) ||
-                !trusted(*m, job, now) || !taken.ok(m->zone))
+            if ((!zone.empty() && m->zone != zone) || !schedulable(*m, now) || !eligible(s, *m) ||
+                !cleared_for(*m, job, now) || !taken.allows(m->zone))
                 continue;
             hosts.push_back(m.get());
-            rooms.push_back(coming(rooms_.filed(*m)));
+            rooms.push_back(capacity_after_stops(capacity_index_.find(*m)));
         }
         if (hosts.empty()) continue;
         // The place of what runs on other machines: nothing fits there.
         rooms.push_back({-quota::no_limit, -quota::no_limit, -quota::no_limit});
-        auto there = held(hosts, now);
+        auto there = running_work(hosts, now);
         auto plan = quota::reclaim(ledger, rooms, there.units, {job.account, s.need, tasks});
         if (plan.room_on.empty() || (whole && plan.room_on.size() < tasks)) continue;
         // Nobody else gets it in this round: neither the room nor what the limits leave.
@@ -193,7 +195,7 @@
             if (there.units[u].parts.size() > 1)
                 stop_gang(*other, grace_for(*other), now, "borrowed room is claimed");
             else
-                note_stop(*m, a, m->assignments.at(a), grace_for(*other), now, "borrowed room is claimed");
+                request_stop(*m, a, m->assignments.at(a), grace_for(*other), now, "borrowed room is claimed");
         }
         if (!plan.stop.empty())
             spdlog::info(
@@ -204,10 +206,10 @@
     return false;
 }
 
-void Cluster::shrink(TimePoint now) {
+void Cluster::enforce_lowered_limits(TimePoint now) {
     const auto& tree = ledger_.tree();
-    if (!tree.limits() || now < distrust_until_) return;
-    std::optional<Held> there;
+    if (!tree.limits() || now < starts_deferred_until_) return;
+    std::optional<RunningWork> there;
     const bool patient = now < std::max(quotas_changed_, acquired_) + secs(shrink_s_);
     // The deepest first: what it gives up its parents need not.
     for (auto n = static_cast<quota::NodeId>(tree.size()); n-- > 1;) {
@@ -216,7 +218,7 @@
         if (!there) {
             std::vector<Machine*> hosts;
             for (auto& [name, m] : machines_) hosts.push_back(m.get());
-            there = held(hosts, now);
+            there = running_work(hosts, now);
         }
         wire::Resources stopping;
         for (auto& [name, m] : machines_)
@@ -240,7 +242,7 @@
             if (units[u].parts.size() > 1)
                 stop_gang(*job, grace_for(*job), now, "above a lowered limit");
             else
-                note_stop(*m, a, m->assignments.at(a), grace_for(*job), now, "above a lowered limit");
+                request_stop(*m, a, m->assignments.at(a), grace_for(*job), now, "above a lowered limit");
         }
     }
 }
@@ -248,9 +250,9 @@
 std::string Cluster::explain(const Job& job, TimePoint now) const {
     const auto& s = job.spec;
     if (job.cancelled || job.waiting.empty()) return "";
-    if (now < distrust_until_)
+    if (now < starts_deferred_until_)
         return fmt::format("a record of starts cannot be read: nothing is started for {:.0f} s",
-                           Seconds(distrust_until_ - now).count());
+                           Seconds(starts_deferred_until_ - now).count());
     if (now < job.retry_at)
         return fmt::format("its last try failed: the next is in {:.1f} s",
                            Seconds(job.retry_at - now).count());
@@ -271,13 +273,13 @@
         out.pop_back();
         return out;
     }
-    if (gang && !job.places.empty()) return "tasks of its last attempt may still be on their machines";
+    if (gang && !job.placements.empty()) return "tasks of its last attempt may still be on their machines";
     std::size_t may = 0, fit = 0;
-    const Zones taken(*this, s, &job);
+    const ZoneConstraint taken(*this, s, &job);
     const Machine* roomiest = nullptr;
     wire::Resources most;
     for (auto& [name, m] : machines_) {
-        if (!usable(*m, now) || !allowed(s, *m) || !taken.ok(m->zone)) continue;
+        if (!schedulable(*m, now) || !eligible(s, *m) || !taken.allows(m->zone)) continue;
         ++may;
         auto room = m->available();
         fit += s.need.fits(room);
@@ -291,7 +293,7 @@
     std::uint64_t before = 0;
     for (int level = 0; level <= static_cast<int>(s.priority); ++level)
         for (auto& p : queue_.level(level)) {
-            if (level == static_cast<int>(s.priority) && !(p < queue::Place{job.accepted_ms, s.id})) break;
+            if (level == static_cast<int>(s.priority) && !(p < queue::Position{job.accepted_ms, s.id})) break;
             if (auto it = jobs_.find(p.id); it != jobs_.end()) before += it->second->waiting.size();
         }
     if (gang && fit < s.tasks)
--- a/src/placement/writes.cpp
+++ b/src/placement/record_writes.cpp
@@ -45,23 +45,23 @@
 }
 }  // namespace
 
-bool Cluster::waited_for(const Job& job) {
+bool Cluster::write_is_urgent(const Job& job) {
     return job.finished() || !job.unrecorded_errors.empty() ||
-           (job.cancelled && (!job.cancel_durable || job.places.empty()));
+           (job.cancelled && (!job.cancel_durable || job.placements.empty()));
 }
 
 bool Cluster::has_urgent_writes() const {
-    return shards_.any_due(false) || !queued_.empty() ||
-           std::any_of(dirty_jobs_.begin(), dirty_jobs_.end(), [this](auto& id) {
+    return shards_.any_due(false) || !queued_writes_.empty() ||
+           std::any_of(pending_jobs_.begin(), pending_jobs_.end(), [this](auto& id) {
                auto it = jobs_.find(id);
-               return it != jobs_.end() && waited_for(*it->second);
+               return it != jobs_.end() && write_is_urgent(*it->second);
            });
 }
 
-std::size_t Cluster::most_tasks() const {
+std::size_t Cluster::max_tasks_per_machine() const {
     // The longest name of a task with its attempt takes 52 characters.
-    return std::max<std::size_t>(1,
-                                 (rules_.value_bytes - std::min<std::size_t>(rules_.value_bytes, 400)) / 56);
+    return std::max<std::size_t>(
+        1, (config_.value_bytes - std::min<std::size_t>(config_.value_bytes, 400)) / 56);
 }
 
 state::MachineRecord Cluster::record_of(const Machine& m, TimePoint now, std::int64_t wall_ms) const {
@@ -83,9 +83,9 @@
         out.push_back(std::move(w));
     };
     auto full = [&] { return out.size() >= max_ops || bytes >= max_bytes; };
-    while (!queued_.empty() && !full()) {
-        add(std::move(queued_.front()));
-        queued_.pop_front();
+    while (!queued_writes_.empty() && !full()) {
+        add(std::move(queued_writes_.front()));
+        queued_writes_.pop_front();
     }
     while (!full()) {
         auto due = shards_.due(progress);
@@ -112,39 +112,40 @@
                      auto it = m->assignments.find(a);
                      if (it != m->assignments.end() && it->second.phase == AssignmentPhase::recording)
                          it->second.phase = AssignmentPhase::ready;
-                     touch(name);
+                     note_command(name);
                  }
              }});
     }
-    for (auto it = dirty_jobs_.begin();
-         it != dirty_jobs_.end() && out.size() + 3 <= max_ops && bytes < max_bytes;) {
+    for (auto it = pending_jobs_.begin();
+         it != pending_jobs_.end() && out.size() + 3 <= max_ops && bytes < max_bytes;) {
         std::string id = *it;
         Job* job = find_job(id);
-        if (job && !progress && !waited_for(*job)) {
+        if (job && !progress && !write_is_urgent(*job)) {
             ++it;
             continue;
         }
-        it = dirty_jobs_.erase(it);
+        it = pending_jobs_.erase(it);
         if (!job) continue;
-        job->dirty = false;
-        bool over = job->cancelled ? (job->cancel_durable && job->places.empty()) : job->finished();
-        over &= job->away.empty();  // a part of it is still another cell's
-        job->record_under_way |= (over || job->cancelled) && !job->cancel_durable;
+        job->write_pending = false;
+        bool over = job->cancelled ? (job->cancel_durable && job->placements.empty()) : job->finished();
+        over &= job->delegated.empty();  // a part of it is still another cell's
+        job->write_in_flight |= (over || job->cancelled) && !job->cancel_durable;
         if (over) {
-            state::PastRecord past{job->failed      ? wire::JobState::failed
-                                   : job->cancelled ? wire::JobState::cancelled
-                                                    : wire::JobState::done,
-                                   job->done.size(), job->error_count};
-            add({state::past_key(id), state::to_json(past), [this, id, past] {
+            state::FinishedRecord past{job->failed      ? wire::JobState::failed
+                                       : job->cancelled ? wire::JobState::cancelled
+                                                        : wire::JobState::done,
+                                       job->done.size(), job->error_count};
+            add({state::finished_key(id), state::to_json(past), [this, id, past] {
                      Job* j = find_job(id);
                      if (!j) return;
                      spdlog::debug("job {} is over: {}", id, wire::job_state_name(past.state));
-                     past_[id] = past;
-                     for (auto& [index, list] : j->places)
-                         for (auto& [name, number] : list) touch(name);
+                     finished_jobs_[id] = past;
+                     for (auto& [index, list] : j->placements)
+                         for (auto& [name, number] : list) note_command(name);
                      queue_.set_waiting(j->spec.priority, {j->accepted_ms, id}, j->waiting.size(), 0);
                      drop_shape(*j);
-                     if (j->served || j->late) served_.over(j->spec.job_class, j->spec.team, j->served);
+                     if (j->fully_scheduled || j->objective_missed)
+                         starvation_.job_over(j->spec.job_class, j->spec.team, j->fully_scheduled);
                      jobs_.erase(id);
                  }});
             add({state::job_key(id), std::nullopt, {}});
@@ -158,8 +159,8 @@
                      errors_recorded(*j, p.errors);
                      if (p.cancelled) {
                          j->cancel_durable = true;
-                         j->record_under_way = j->record_unknown = false;
-                         if (j->places.empty()) mark_dirty(*j);
+                         j->write_in_flight = j->write_unanswered = false;
+                         if (j->placements.empty()) mark_write_pending(*j);
                      }
                  }});
             job->progress_written = true;
@@ -172,16 +173,16 @@
     // Values are absolute: machines and jobs are written anew from what is known by then.
     std::deque<Write> again;
     for (auto& w : writes) {
-        if (auto* job = find_job(w.key.substr(w.key.find('/') + 1)); job && job->record_under_way) {
-            job->record_under_way = false;
-            job->record_unknown |= may_be_executed;
+        if (auto* job = find_job(w.key.substr(w.key.find('/') + 1)); job && job->write_in_flight) {
+            job->write_in_flight = false;
+            job->write_unanswered |= may_be_executed;
         }
         if (auto shard = state::parse_assignment_shard_key(w.key)) {
             shards_.on_write_failed(*shard);
         } else if (w.key.starts_with("progress/") && w.value) {
-            dirty_jobs_.insert(w.key.substr(9));
+            pending_jobs_.insert(w.key.substr(9));
         } else if (w.key.starts_with("past/")) {
-            dirty_jobs_.insert(w.key.substr(5));
+            pending_jobs_.insert(w.key.substr(5));
         } else if (w.key.starts_with("jobs/") || w.key.starts_with("progress/")) {
             // goes with its past/ record
         } else {
@@ -189,7 +190,7 @@
         }
     }
     while (!again.empty()) {
-        queued_.push_front(std::move(again.back()));
+        queued_writes_.push_front(std::move(again.back()));
         again.pop_back();
     }
 }
--- a/src/placement/rounds.cpp
+++ b/src/placement/scheduling.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "placement/cluster.hpp"
-#include "placement/faults.hpp"
+#include "placement/failure_attribution.hpp"
 #include "placement/gangs.hpp"
 #include "placement/preemption.hpp"
 
@@ -16,13 +16,14 @@
 // A machine that takes a task only becomes the better choice for the next one of the same job (a tighter fit,
 // its image under way), and no other machine changes. So the order holds for all of its tasks, and filling
 // the machines in turn gives what a search for each task would give.
-std::vector<Machine*> Cluster::rank(Job& job, TimePoint now) {
+std::vector<Machine*> Cluster::rank_machines(Job& job, TimePoint now) {
     std::vector<std::pair<double, Machine*>> scored;
     const auto& s = job.spec;
-    auto look = [&](const Rooms::Filed& filed) {
-        Machine& m = *filed.machine;
+    auto look = [&](const CapacityIndex::IndexedMachine& indexed) {
+        Machine& m = *indexed.machine;
         wire::Resources room = m.unreserved();
-        if (!s.need.fits(room) || !usable(m, now) || m.assignments.size() >= most_tasks()) return;
+        if (!s.need.fits(room) || !schedulable(m, now) || m.assignments.size() >= max_tasks_per_machine())
+            return;
         double score = 0;
         double fetch_s = m.has_image(s.image)  ? 0
                          : m.fetching(s.image) ? 0.5 * s.image_gb / m.fetch_gb_per_s
@@ -36,8 +37,8 @@
         if (m.capacity.cpus > 0) score -= 3.0 * (room.cpus - s.need.cpus) / m.capacity.cpus;
         scored.emplace_back(score, &m);
     };
-    rooms_.refresh();
-    for (auto* those : may_use(job)) Rooms::with_free(*those, s.need, look);
+    capacity_index_.refresh();
+    for (auto* those : candidate_classes(job)) CapacityIndex::for_each_with_free_cpus(*those, s.need, look);
     std::sort(scored.begin(), scored.end(), [](auto& x, auto& y) {
         return x.first != y.first ? x.first > y.first : x.second->name < y.second->name;
     });
@@ -64,21 +65,22 @@
 
 bool Cluster::place_gang(Job& job, TimePoint now) {
     // All or none: every task of the earlier attempt must be gone, and room must show for all at once.
-    if (job.waiting.size() != job.spec.tasks || !job.places.empty()) return false;
+    if (job.waiting.size() != job.spec.tasks || !job.placements.empty()) return false;
     if (!ledger_.admits(job.account, job.spec.need, job.spec.tasks)) return false;
     std::vector<gangs::Host> hosts;
     std::vector<Machine*> machines;
     std::set<std::string> zones;
-    rooms_.refresh();
-    for (auto& [key, those] : rooms_.alike()) zones.insert(those->zone);
-    std::vector<const Rooms::Filed*> near;
-    for (auto* those : may_use(job))
-        Rooms::with_free(*those, job.spec.need, [&](const Rooms::Filed& f) { near.push_back(&f); });
-    std::sort(near.begin(), near.end(), Rooms::ByName{});
-    for (auto* filed : near) {
-        Machine& m = *filed->machine;
+    capacity_index_.refresh();
+    for (auto& [key, those] : capacity_index_.classes()) zones.insert(those->zone);
+    std::vector<const CapacityIndex::IndexedMachine*> near;
+    for (auto* those : candidate_classes(job))
+        CapacityIndex::for_each_with_free_cpus(
+            *those, job.spec.need, [&](const CapacityIndex::IndexedMachine& f) { near.push_back(&f); });
+    std::sort(near.begin(), near.end(), CapacityIndex::ByName{});
+    for (auto* indexed : near) {
+        Machine& m = *indexed->machine;
         const auto& name = m.name;
-        if (!job.spec.need.fits(m.unreserved()) || !usable(m, now) || !trusted(m, job, now) ||
+        if (!job.spec.need.fits(m.unreserved()) || !schedulable(m, now) || !cleared_for(m, job, now) ||
             m.slowness > 1.8)
             continue;
         double merit = (m.has_image(job.spec.image) ? 0 : -job.spec.image_gb / m.fetch_gb_per_s) -
@@ -102,12 +104,12 @@
     return r;
 }
 
-double Cluster::time_left(const Job& job, TimePoint now) const {
+double Cluster::objective_slack_s(const Job& job, TimePoint now) const {
     double elapsed = Seconds(now - job.accepted).count();
-    double run = job.run_guess();
+    double run = job.estimated_run_s();
     std::optional<double> left;
     auto at_most = [&](double x) { left = std::min(left.value_or(x), x); };
-    for (auto* aim : job.aims) {
+    for (auto* aim : job.objectives) {
         auto& o = *aim;
         // Work is lumpy and estimates are off: some of the time is kept back.
         if (o.kind == "wait") at_most((job.spec.kind == JobKind::array ? 0.7 : 1.0) * o.within_s - elapsed);
@@ -119,62 +121,65 @@
 
 bool Cluster::may_preempt(const Job& job, TimePoint now) const {
     if (job.spec.priority <= Priority::high) return true;
-    return job.spec.kind == JobKind::array && time_left(job, now) < usual_boot_s();
+    return job.spec.kind == JobKind::array && objective_slack_s(job, now) < usual_boot_s();
 }
 
 // Lower work makes room. Room that is already being made is waited for.
-Cluster::Room Cluster::make_room(Job& job, std::uint32_t tasks, TimePoint now, bool with_image) {
-    Room out;
+Cluster::PreemptionResult Cluster::preempt_for(Job& job, std::uint32_t tasks, TimePoint now,
+                                               bool with_image) {
+    PreemptionResult out;
     if (!may_preempt(job, now)) return out;
     const bool kept_only = job.spec.priority > Priority::high;
     const bool guarantees = ledger_.tree().guarantees();
     const auto& need = job.spec.need;
-    std::vector<preemption::Option> options;
+    std::vector<preemption::Candidate> options;
     std::vector<Machine*> machines;
     std::vector<Attempt> victims;
     const auto level = static_cast<std::size_t>(job.spec.priority);
-    const Zones zones(*this, job.spec, &job);
-    std::vector<const Rooms::Alike*> sorts;
-    rooms_.refresh();
-    for (auto* those : may_use(job))
-        if (!those->lower[level].empty() && zones.ok(those->zone)) sorts.push_back(those);
+    const ZoneConstraint zones(*this, job.spec, &job);
+    std::vector<const CapacityIndex::MachineClass*> sorts;
+    capacity_index_.refresh();
+    for (auto* those : candidate_classes(job))
+        if (!those->may_free[level].empty() && zones.allows(those->zone)) sorts.push_back(those);
     auto suits = [&](const Machine& m) {
-        return usable(m, now) && trusted(m, job, now) && m.slowness <= 1.8 &&
+        return schedulable(m, now) && cleared_for(m, job, now) && m.slowness <= 1.8 &&
                (!with_image || m.has_image(job.spec.image));
     };
     // Room that is being made, on machines where there is some: where something stops, or enough is free.
-    std::vector<const Rooms::Filed*> near;
+    std::vector<const CapacityIndex::IndexedMachine*> near;
     for (auto* those : sorts) {
         near.insert(near.end(), those->stopping.begin(), those->stopping.end());
-        Rooms::with_free(*those, need, [&](const Rooms::Filed& f) {
-            if (f.tally.lower[level] && !f.tally.stops) near.push_back(&f);
+        CapacityIndex::for_each_with_free_cpus(*those, need, [&](const CapacityIndex::IndexedMachine& f) {
+            if (f.capacity.may_free[level] && !f.capacity.has_stopping) near.push_back(&f);
         });
     }
-    std::sort(near.begin(), near.end(), Rooms::ByName{});
-    std::unordered_set<const Rooms::Filed*> kept;
-    for (auto* filed : near) {
-        Machine& m = *filed->machine;
+    std::sort(near.begin(), near.end(), CapacityIndex::ByName{});
+    std::unordered_set<const CapacityIndex::IndexedMachine*> kept;
+    for (auto* indexed : near) {
+        Machine& m = *indexed->machine;
         if (out.tasks >= tasks) return out;
-        wire::Resources room = coming(*filed);
+        wire::Resources room = capacity_after_stops(*indexed);
         if (!need.fits(room) || !suits(m)) continue;
         for (; out.tasks < tasks && need.fits(room); room -= need) {
             reserve(m, need);
             ++out.tasks;
         }
-        kept.insert(filed);
+        kept.insert(indexed);
     }
     if (out.tasks >= tasks) return out;
     near.clear();
     for (auto* those : sorts)
-        for (auto* filed : those->lower[level])
-            if (need.fits(filed->tally.reach(static_cast<int>(level))) && !kept.contains(filed))
-                near.push_back(filed);
-    std::sort(near.begin(), near.end(), Rooms::ByName{});
-    for (auto* filed : near) {
-        Machine& m = *filed->machine;
+        for (auto* indexed : those->may_free[level])
+            if (need.fits(indexed->capacity.up_to_level(static_cast<int>(level))) && !kept.contains(indexed))
+                near.push_back(indexed);
+    std::sort(near.begin(), near.end(), CapacityIndex::ByName{});
+    for (auto* indexed : near) {
+        Machine& m = *indexed->machine;
         if (!suits(m)) continue;
-        preemption::Option option{
-            coming(*filed), {}, m.has_image(job.spec.image) ? 0 : 10 * job.spec.image_gb / m.fetch_gb_per_s};
+        preemption::Candidate option{
+            capacity_after_stops(*indexed),
+            {},
+            m.has_image(job.spec.image) ? 0 : 10 * job.spec.image_gb / m.fetch_gb_per_s};
         for (auto& [a, e] : m.assignments) {
             if (!e.preemptible_by(job.spec.priority) || (kept_only && !e.checkpoints)) continue;
             Job* other = find_job(a.task.job);
@@ -186,7 +191,8 @@
                 ledger_.covered(job.account, need, 1, ledger_.tree().common(e.account, job.account)) == 0)
                 continue;
             option.victims.push_back(
-                {victims.size(), e.need, loss(*other, e, now) - 10.0 * static_cast<double>(e.priority)});
+                {victims.size(), e.need,
+                 preemption_cost(*other, e, now) - 10.0 * static_cast<double>(e.priority)});
             victims.push_back(a);
         }
         if (option.victims.empty()) continue;
@@ -202,9 +208,10 @@
             const Attempt& a = victims[v];
             Job* other = find_job(a.task.job);
             // Saving comes first unless users would wait for it: a replica is late, or would be.
-            bool hurry =
-                job.spec.kind == JobKind::service && other && start_slack(job, now) < other->spec.save_s + 1;
-            note_stop(m, a, m.assignments.at(a), other && !hurry ? grace_for(*other) : 0, now, "preempted");
+            bool hurry = job.spec.kind == JobKind::service && other &&
+                         wait_objective_slack_s(job, now) < other->spec.save_s + 1;
+            request_stop(m, a, m.assignments.at(a), other && !hurry ? grace_for(*other) : 0, now,
+                         "preempted");
             ++stopped;
         }
         out.stopped = true;
@@ -218,9 +225,9 @@
     return out;
 }
 
-double Cluster::start_slack(const Job& job, TimePoint now) const {
+double Cluster::wait_objective_slack_s(const Job& job, TimePoint now) const {
     double slack = 1e9;
-    for (auto* o : job.aims)
+    for (auto* o : job.objectives)
         if (o->kind == "wait") slack = std::min(slack, o->within_s - Seconds(now - job.accepted).count());
     return slack;
 }
@@ -228,17 +235,18 @@
 // Waiting tasks of a job, in order, onto the machines that suit it best. `make_way`: lower work may be
 // stopped where the image is, if a fetch would take too long. `may_fit`: false if its shape is known to fit
 // nowhere.
-Cluster::Served Cluster::serve(Job& job, std::uint32_t most, TimePoint now, bool make_way, bool may_fit) {
-    Served out;
+Cluster::Scheduled Cluster::schedule_job(Job& job, std::uint32_t most, TimePoint now, bool make_way,
+                                         bool may_fit) {
+    Scheduled out;
     const auto& s = job.spec;
     std::vector<Machine*> ranked;
-    if (may_fit) ranked = rank(job, now);
+    if (may_fit) ranked = rank_machines(job, now);
     std::size_t at = 0;
-    Zones zones(*this, job.spec, &job);
+    ZoneConstraint zones(*this, job.spec, &job);
     auto choose = [&]() -> Machine* {
         for (; at < ranked.size(); ++at) {
-            if (s.need.fits(ranked[at]->unreserved()) && trusted(*ranked[at], job, now) &&
-                ranked[at]->assignments.size() < most_tasks() && zones.ok(ranked[at]->zone))
+            if (s.need.fits(ranked[at]->unreserved()) && cleared_for(*ranked[at], job, now) &&
+                ranked[at]->assignments.size() < max_tasks_per_machine() && zones.allows(ranked[at]->zone))
                 return ranked[at];
         }
         return nullptr;
@@ -250,14 +258,14 @@
         Machine* m = choose();
         // The worker refuses a second attempt of a task that it still lists.
         if (m && m->holds_task({s.id, index})) {
-            touch(m->name);
+            note_command(m->name);
             break;
         }
         if (m && make_way && s.priority <= Priority::high && !m->has_image(s.image)) {
             // The fetch alone would take longer than the start may: lower work yields where the image is.
-            double slack = start_slack(job, now);
+            double slack = wait_objective_slack_s(job, now);
             if (slack > 0.2 && s.image_gb / m->fetch_gb_per_s > slack) {
-                auto made = make_room(job, 1, now, true);
+                auto made = preempt_for(job, 1, now, true);
                 if (made.tasks > 0) {
                     out.stopped |= made.stopped;
                     cursor = index + 1;
@@ -277,11 +285,11 @@
     return out;
 }
 
-bool Cluster::round(TimePoint now) {
-    if (queue_.waiting() == 0 || now < distrust_until_) return false;
+bool Cluster::schedule_round(TimePoint now) {
+    if (queue_.waiting() == 0 || now < starts_deferred_until_) return false;
     std::size_t placed = 0;
-    bool acted = ledger_.tree().guarantees() && serve_guarantees(now, placed);
-    acted |= serve_levels(now, placed);
+    bool acted = ledger_.tree().guarantees() && schedule_guaranteed(now, placed);
+    acted |= schedule_by_priority(now, placed);
     for (auto& [account, need] : promised_) ledger_.release(account, need);
     promised_.clear();
     for (Machine* m : reserved_) m->reserved = {};
@@ -307,7 +315,7 @@
 }
 
 // The ordinary path: strict levels, first come first served.
-bool Cluster::serve_levels(TimePoint now, std::size_t placed) {
+bool Cluster::schedule_by_priority(TimePoint now, std::size_t placed) {
     bool acted = false;
     // Shapes that fitted nowhere in this round need not be tried again: room only shrinks during a round. So
     // a long queue of like tasks costs one look, not a walk over all machines for each.
@@ -316,7 +324,7 @@
     for (int level = 0; level < wire::priority_levels; ++level) {
         std::vector<bool> stuck(shapes);  // no room can be made either
         for (Job* job : in_order(level)) {
-            if (placed >= most_starts_a_round) return true;
+            if (placed >= max_starts_per_round) return true;
             if (job->cancelled || now < job->retry_at) continue;
             const auto& s = job->spec;
             const auto shape = job->shape_number;
@@ -326,20 +334,20 @@
                 if (place_gang(*job, now)) {
                     placed += s.tasks;
                     acted = true;
-                } else if (job->places.empty()) {
-                    if (s.tasks == 1) acted |= make_room(*job, 1, now, false).stopped;
+                } else if (job->placements.empty()) {
+                    if (s.tasks == 1) acted |= preempt_for(*job, 1, now, false).stopped;
                     if (anywhere && s.tasks == 1) misfits[shape] = true;
                 }
                 continue;
             }
-            auto served = serve(*job, static_cast<std::uint32_t>(most_starts_a_round - placed), now, true,
-                                !misfits[shape]);
+            auto served = schedule_job(*job, static_cast<std::uint32_t>(max_starts_per_round - placed), now,
+                                       true, !misfits[shape]);
             placed += served.placed;
             acted |= served.placed > 0 || served.stopped;
             if (!served.no_room) continue;
             if (anywhere) misfits[shape] = true;
             auto wanted = job->waiting.size();
-            auto made = make_room(*job, wanted, now, false);
+            auto made = preempt_for(*job, wanted, now, false);
             acted |= made.stopped;
             if (anywhere && made.tasks < wanted && may_preempt(*job, now)) stuck[shape] = true;
         }
@@ -347,22 +355,24 @@
     return acted;
 }
 
-bool Cluster::runs_well(const Job& job, TimePoint now) const {
+bool Cluster::has_proven_run(const Job& job, TimePoint now) const {
     if (!job.done.empty()) return true;
-    for (auto& [index, list] : job.places)
+    for (auto& [index, list] : job.placements)
         for (auto& [name, number] : list) {
             auto m = machines_.find(name);
             if (m == machines_.end()) continue;
             auto e = m->second->assignments.find({{job.spec.id, index}, number});
             if (e != m->second->assignments.end() && !e->second.exited() &&
-                e->second.started_at != TimePoint{} && now - e->second.started_at > faults::proven_after)
+                e->second.started_at != TimePoint{} &&
+                now - e->second.started_at > failure_attribution::proven_run_time)
                 return true;
         }
     return false;
 }
 
-bool Cluster::trusted(const Machine& m, const Job& job, TimePoint now) const {
-    return faults::trusted(m, job.spec.kind == JobKind::service, job.failed_on.contains(m.name), now);
+bool Cluster::cleared_for(const Machine& m, const Job& job, TimePoint now) const {
+    return failure_attribution::may_take_work(m, job.spec.kind == JobKind::service,
+                                              job.failed_on.contains(m.name), now);
 }
 
 }  // namespace barrowrun::placement
--- a/src/placement/served.hpp
+++ b/src/placement/starvation_monitor.hpp
@@ -14,9 +14,9 @@
 
 namespace barrowrun::placement {
 
-class ServedWatch {
+class StarvationMonitor {
   public:
-    struct Rules {
+    struct Thresholds {
         // What ended long ago counts for less: half after this.
         Clock::duration half_life = std::chrono::minutes(5);
         // Shares of the jobs that were served, of those that were, or should have been by now.
@@ -27,23 +27,23 @@
         std::size_t most_groups = 512;
         Clock::duration repeat = std::chrono::seconds(30);
     };
-    enum class State { fine, danger, below };
-    struct Line {
+    enum class State { healthy, at_risk, starved };
+    struct Finding {
         std::string group;  // `class NAME` or `team NAME`
-        State state = State::fine;
+        State state = State::healthy;
         double share = 1, waiting = 0;  // waiting: jobs that should have been served
     };
 
-    ServedWatch() = default;
-    explicit ServedWatch(Rules rules) : rules_(rules) {}
+    StarvationMonitor() = default;
+    explicit StarvationMonitor(Thresholds thresholds) : thresholds_(thresholds) {}
     // A job is over. `served`: all its tasks had started once. One that was withdrawn in time counts for
     // neither side, and is not told.
-    void over(const std::string& job_class, const std::string& team, bool served);
+    void job_over(const std::string& job_class, const std::string& team, bool served);
     // A look at the jobs that are there: first `begin`, then each job that was served, or is late.
-    void begin(TimePoint now);
-    void job(const std::string& job_class, const std::string& team, bool served);
+    void begin_pass(TimePoint now);
+    void observe(const std::string& job_class, const std::string& team, bool served);
     // What is to be said now: a group that came into danger, is still in it after a while, or out of it.
-    std::vector<Line> end(TimePoint now);
+    std::vector<Finding> end_pass(TimePoint now);
     // The share of a group as of the last look; 1 where nothing is known.
     double share(const std::string& group) const;
 
@@ -51,13 +51,13 @@
     struct Group {
         double served = 0, missed = 0;  // of jobs that are over
         double served_now = 0, late_now = 0;
-        State state = State::fine;
+        State state = State::healthy;
         TimePoint said{};
         double share() const;
         double jobs() const { return served + missed + served_now + late_now; }
     };
     Group* group(const std::string& name);
-    Rules rules_;
+    Thresholds thresholds_;
     std::unordered_map<std::string, Group> groups_;
     TimePoint decayed_{};
 };
--- a/src/placement/occupancy.cpp
+++ b/src/placement/zones.cpp
@@ -6,14 +6,15 @@
 namespace barrowrun::placement {
 using wire::JobKind;
 
-Cluster::Zones::Zones(const Cluster& cluster, const wire::JobSpec& spec, const Job* job) : spec_(spec) {
+Cluster::ZoneConstraint::ZoneConstraint(const Cluster& cluster, const wire::JobSpec& spec, const Job* job)
+    : spec_(spec) {
     if (!job || (!spec_.spread && !spec_.one_zone)) return;
-    for (auto& [index, list] : job->places)
+    for (auto& [index, list] : job->placements)
         for (auto& [name, number] : list)
             if (auto it = cluster.machines_.find(name); it != cluster.machines_.end()) add(it->second->zone);
 }
 
-bool Cluster::Zones::ok(const std::string& zone) const {
+bool Cluster::ZoneConstraint::allows(const std::string& zone) const {
     if (!spec_.spread && !spec_.one_zone) return true;
     auto it = in_.find(zone);
     const std::uint32_t here = it == in_.end() ? 0 : it->second;
@@ -23,13 +24,13 @@
 
 // An attempt that may be on a machine: its task does not wait any more, and the entry knows what it is.
 void Cluster::occupy(Job& job, const Attempt& a, Assignment& e, Machine& m) {
-    rooms_.changed(m);
+    capacity_index_.changed(m);
     e.need = job.spec.need;
     e.service = job.spec.kind == JobKind::service;
     e.priority = job.spec.priority;
     e.preemptible = job.spec.kind != JobKind::service;
     e.checkpoints = job.spec.checkpoint_s > 0;
-    auto& list = job.places[a.task.index];
+    auto& list = job.placements[a.task.index];
     std::pair here{m.name, a.number};
     if (std::find(list.begin(), list.end(), here) == list.end()) list.push_back(std::move(here));
     if (e.account == quota::no_node) ledger_.charge(e.account = job.account, e.need);
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -23,7 +23,7 @@
 struct Settings {
     std::string node, zone, listen, peer_listen, cloud, state;
     std::vector<Member> members;
-    placement::Rules rules;
+    placement::Config rules;
     double state_rps = 100, state_write_rps = 50, cloud_rps = 2, list_lag_s = 5;
     double max_connections = 500;
     // Who changes quotas while running must know it; empty: nobody may.
--- a/src/state/records.cpp
+++ b/src/state/records.cpp
@@ -121,7 +121,7 @@
 std::string progress_key(const std::string& id) {
     return "progress/" + id;
 }
-std::string past_key(const std::string& id) {
+std::string finished_key(const std::string& id) {
     return "past/" + id;
 }
 std::string assignment_shard_key(std::uint32_t number) {
@@ -194,16 +194,16 @@
     return p;
 }
 
-Json to_json(const PastRecord& r) {
+Json to_json(const FinishedRecord& r) {
     Json out{{"state", wire::job_state_name(r.state)}, {"finished", r.done}};
     if (r.errors) out["error_count"] = wire::error_count_json(*r.errors);
     return out;
 }
 
-std::optional<PastRecord> parse_past(const Json& value) {
+std::optional<FinishedRecord> parse_finished_record(const Json& value) {
     auto standing = wire::parse_job_state(wire::text(value, "state").value_or(""));
     if (!standing) return std::nullopt;
-    PastRecord r{*standing, static_cast<std::uint32_t>(wire::count(value, "finished").value_or(0)), {}};
+    FinishedRecord r{*standing, static_cast<std::uint32_t>(wire::count(value, "finished").value_or(0)), {}};
     if (const Json* errors = wire::find(value, "error_count")) r.errors = wire::parse_error_count(*errors);
     return r;
 }
--- a/src/state/records.hpp
+++ b/src/state/records.hpp
@@ -54,7 +54,7 @@
 
 std::string job_key(const std::string& id);
 std::string progress_key(const std::string& id);
-std::string past_key(const std::string& id);
+std::string finished_key(const std::string& id);
 std::string assignment_shard_key(std::uint32_t number);
 std::optional<std::uint32_t> parse_assignment_shard_key(const std::string& key);
 std::string provisioning_key(const std::string& request);
@@ -86,13 +86,13 @@
 Json to_json(const Progress& p, std::uint32_t tasks);
 std::optional<Progress> parse_progress(const Json& value, std::uint32_t tasks);
 
-struct PastRecord {
+struct FinishedRecord {
     wire::JobState state = wire::JobState::done;
     std::uint32_t done = 0;
     std::optional<wire::ErrorCount> errors{};
 };
-Json to_json(const PastRecord& r);
-std::optional<PastRecord> parse_past(const Json& value);
+Json to_json(const FinishedRecord& r);
+std::optional<FinishedRecord> parse_finished_record(const Json& value);
 
 struct MachineRecord {
     std::string name, address, type, zone;
--- a/tests/assignment_shards_test.cpp
+++ b/tests/assignment_shards_test.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-placement::Rules tight() {
-    placement::Rules r;
+placement::Config tight() {
+    placement::Config r;
     r.txn_ops = 20, r.value_bytes = 16 * 1024;
     return r;
 }
@@ -48,7 +48,7 @@
     for (int i = 0; i < 600; ++i) f.up(name_of(i));
     write_all(f);
     f.add(f.spec("wk-1", 350, 4));
-    f.cluster->round(f.now);
+    f.cluster->schedule_round(f.now);
     EXPECT_TRUE(f.cluster->has_urgent_writes());
     auto array = write_all(f);
     EXPECT_LE(array.changes, 20u);
@@ -72,12 +72,12 @@
     for (int i = 0; i < 400; ++i) f.up(name_of(i));
     write_all(f);
     f.add(f.spec("wk-1", 350, 4));
-    f.cluster->round(f.now);
+    f.cluster->schedule_round(f.now);
     auto service = f.spec("wk-2", 1, 4);
     service.kind = wire::JobKind::service;
     service.priority = Priority::production;
     f.add(service);
-    f.cluster->round(f.now);
+    f.cluster->schedule_round(f.now);
     auto writes = f.cluster->take_writes(1, 48 * 1024, f.now, f.wall);
     bool first = false;
     for (auto& [machine, attempts] : Fleet::recorded(writes))
@@ -108,7 +108,7 @@
     for (unsigned seed = 1; seed <= 30; ++seed) {
         std::mt19937 random(seed);
         auto any = [&](int n) { return std::uniform_int_distribution<int>(0, n - 1)(random); };
-        placement::Rules rules;
+        placement::Config rules;
         rules.value_bytes = 1000;  // three machines a sheet, which split as their places fill
         Fleet f(rules);
         std::map<std::string, wire::Json> kept;
@@ -163,7 +163,7 @@
                     for (auto& [machine, tasks] : there)
                         for (auto& t : tasks) {
                             auto id = *wire::TaskId::parse(t.substr(0, t.find('#')));
-                            auto& places = f.cluster->find_job(id.job)->places;
+                            auto& places = f.cluster->find_job(id.job)->placements;
                             ASSERT_TRUE(places.contains(id.index))
                                 << t << " on " << machine << ", seed " << seed;
                             auto& list = places.at(id.index);
@@ -173,7 +173,7 @@
                     break;
                 }
                 default: {
-                    f.cluster->round(f.now);
+                    f.cluster->schedule_round(f.now);
                     auto writes = f.cluster->take_writes(static_cast<std::size_t>(1 + any(3)), 4096, f.now,
                                                          f.wall, any(2) == 0);
                     if (any(4) == 0) {
@@ -202,7 +202,7 @@
 TEST(Takeover, RecordsThatCannotBeReadHoldAllStartsForALease) {
     Fleet f;
     f.add(f.spec("wk-1"));
-    f.cluster->distrust_records(0, f.now + 20s);
+    f.cluster->note_unreadable_record(0, f.now + 20s);
     f.up("n-1");
     for (auto& w : f.write())
         EXPECT_NE(w.key, state::assignment_shard_key(0)) << "a successor must see it too";
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -82,7 +82,7 @@
 // Machines rented for what ending tasks make room for anyway came up to stand idle. A job that is late gets
 // them.
 TEST(Autoscaler, RoomThatEndingTasksLeaveBeforeABootIsCounted) {
-    placement::Rules rules;
+    placement::Config rules;
     rules.teams["crew"] = {};
     rules.headroom_min = rules.headroom_max = 0;
     rules.objectives = {{"finished", "batch", 100, 1}};
@@ -133,7 +133,7 @@
     // With 25 s from rental to boot, a start within 20 s needs room that is there already; one within 60 s
     // not.
     for (double within : {20.0, 60.0}) {
-        placement::Rules rules;
+        placement::Config rules;
         rules.objectives = {{"wait", "batch", within}};
         Fleet f(rules);
         f.up("n-1");
@@ -187,7 +187,7 @@
 
 // Replicas outlast the bustle that spread them out: half-empty machines cost money for nothing.
 TEST(Autoscaler, AMachineWhoseReplicasHaveRoomElsewhereIsDrained) {
-    placement::Rules rules;
+    placement::Config rules;
     rules.teams["crew"] = {};
     rules.headroom_min = rules.headroom_max = 0;
     Fleet f(rules);
@@ -200,7 +200,7 @@
 }
 
 TEST(Autoscaler, RoomKeptForNewServicesIsNotGivenUp) {
-    placement::Rules rules;
+    placement::Config rules;
     rules.teams["crew"] = {};
     rules.headroom_min = rules.headroom_max = 3;
     Fleet f(rules);
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -16,8 +16,8 @@
     for (auto* s : {&low, &big, &later}) f.add(*s);
     f.up("n-1");
     f.place_all();
-    EXPECT_EQ(f.cluster->find_job("wk-3")->places.size(), 3u);
-    EXPECT_EQ(f.cluster->find_job("wk-1")->places.size(), 1u);
+    EXPECT_EQ(f.cluster->find_job("wk-3")->placements.size(), 3u);
+    EXPECT_EQ(f.cluster->find_job("wk-1")->placements.size(), 1u);
     EXPECT_EQ(f.cluster->find_job("wk-2")->waiting.size(), 1u);
     EXPECT_EQ(f.cluster->queue().level(2).begin()->id, "wk-2");  // keeps its place
 }
@@ -26,7 +26,7 @@
     Fleet f;
     f.up("n-1");
     f.add(f.spec("wk-1"));
-    f.cluster->round(f.now);
+    f.cluster->schedule_round(f.now);
     EXPECT_TRUE(f.cluster->push_commands(f.machine("n-1"), f.now).empty());
     auto writes = f.cluster->take_writes(16, 48 * 1024, f.now, f.wall);
     ASSERT_EQ(writes.size(), 1u);
@@ -51,10 +51,10 @@
     EXPECT_TRUE(f.on("n-2").empty());
     auto& m = f.machine("n-1");
     EXPECT_GT(m.lease_expiry(20, f.cluster->acquired()), f.now + 10s) << "lease, drift and timer steps";
-    f.cluster->lease_over(m, f.now);
+    f.cluster->expire_lease(m, f.now);
     f.place_all();
     EXPECT_EQ(f.on("n-2").size(), 1u);
-    EXPECT_EQ(job.places.size(), 1u);
+    EXPECT_EQ(job.placements.size(), 1u);
 }
 
 TEST(Placement, AReturnedMachineIsProvenEmpty) {
@@ -84,15 +84,15 @@
     EXPECT_TRUE(f.on("n-2").empty());
     // A report made before the worker saw the new token proves nothing about the old leader's pushes.
     f.cluster->on_heartbeat(f.heartbeat("n-1", {}, 49), true, f.now);
-    EXPECT_EQ(job.places.size(), 2u);
+    EXPECT_EQ(job.placements.size(), 2u);
     Attempt zero{{"wk-1", 0}, 7};
     f.cluster->on_heartbeat(f.heartbeat("n-1", {{zero, TaskState::running, Cause::none, false}}, 50), false,
                             f.now);
-    EXPECT_EQ(job.places.size(), 1u);
+    EXPECT_EQ(job.placements.size(), 1u);
     EXPECT_TRUE(job.waiting.contains(1));
     // Attempt numbers of different leaders never meet.
     f.place_all();
-    for (auto& [index, list] : job.places)
+    for (auto& [index, list] : job.placements)
         for (auto& [name, number] : list) EXPECT_TRUE(index == 0 || number > (50ULL << 20));
 }
 
@@ -105,7 +105,7 @@
     f.up("n-2");
     auto& job = f.add(f.spec("wk-1", 2));
     f.place_all();
-    EXPECT_EQ(job.places.at(0).size(), 1u);
+    EXPECT_EQ(job.placements.at(0).size(), 1u);
     for (auto& a : f.on("n-2")) EXPECT_NE(a.task.index, 0u);
     EXPECT_TRUE(job.waiting.empty());
 }
@@ -130,21 +130,21 @@
     f.place_all();
     f.run("n-1");
     f.write();
-    EXPECT_FALSE(job.unsettled());
+    EXPECT_FALSE(job.write_outcome_unknown());
     f.cluster->cancel(job, f.now);
-    EXPECT_FALSE(job.unsettled()) << "nothing was sent yet";
+    EXPECT_FALSE(job.write_outcome_unknown()) << "nothing was sent yet";
     auto writes = f.cluster->take_writes(10, 1 << 20, f.now, f.wall);
-    EXPECT_TRUE(job.unsettled()) << "it is under way";
+    EXPECT_TRUE(job.write_outcome_unknown()) << "it is under way";
     f.cluster->write_failed(std::move(writes), false);
-    EXPECT_FALSE(job.unsettled()) << "it was refused";
+    EXPECT_FALSE(job.write_outcome_unknown()) << "it was refused";
     writes = f.cluster->take_writes(10, 1 << 20, f.now, f.wall);
     f.cluster->write_failed(std::move(writes), true);
-    EXPECT_TRUE(job.unsettled()) << "it may have been carried out";
+    EXPECT_TRUE(job.write_outcome_unknown()) << "it may have been carried out";
     writes = f.cluster->take_writes(10, 1 << 20, f.now, f.wall);
     f.cluster->write_failed(std::move(writes), false);
-    EXPECT_TRUE(job.unsettled()) << "the one before still may have been";
+    EXPECT_TRUE(job.write_outcome_unknown()) << "the one before still may have been";
     f.write();
-    EXPECT_FALSE(job.unsettled());
+    EXPECT_FALSE(job.write_outcome_unknown());
     EXPECT_EQ(job.job_state(), wire::JobState::cancelled);
 }
 
@@ -162,7 +162,7 @@
     ASSERT_GE(writes.size(), 2u);
     EXPECT_EQ(writes[0].key, "past/wk-1");
     EXPECT_FALSE(f.cluster->find_job("wk-1"));
-    EXPECT_EQ(f.cluster->past("wk-1")->state, wire::JobState::done);
+    EXPECT_EQ(f.cluster->finished_job("wk-1")->state, wire::JobState::done);
     auto commands = f.cluster->reply_commands(f.machine("n-1"), f.now);
     ASSERT_EQ(commands.size(), 1u);
     EXPECT_EQ(commands[0].verb, Verb::reap);
@@ -204,14 +204,14 @@
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1", 2));
-    f.cluster->round(f.now);
+    f.cluster->schedule_round(f.now);
     f.cluster->cancel(job, f.now);
     EXPECT_NE(job.job_state(), wire::JobState::cancelled) << "not before it is on record";
     f.write();
     EXPECT_EQ(job.job_state(), wire::JobState::cancelled);
     for (auto& c : f.cluster->push_commands(f.machine("n-1"), f.now)) EXPECT_NE(c.verb, Verb::launch);
     f.write();
-    EXPECT_EQ(f.cluster->past("wk-1")->state, wire::JobState::cancelled);
+    EXPECT_EQ(f.cluster->finished_job("wk-1")->state, wire::JobState::cancelled);
 }
 
 TEST(Cancel, AgainstALaunchInFlightAndAgainstDone) {
@@ -232,7 +232,7 @@
     f.cluster->on_heartbeat(f.heartbeat("n-1", {{a, TaskState::exited, Cause::done, false}}), true, f.now);
     f.write();
     f.write();
-    EXPECT_EQ(f.cluster->past("wk-1")->state, wire::JobState::cancelled);
+    EXPECT_EQ(f.cluster->finished_job("wk-1")->state, wire::JobState::cancelled);
 }
 
 TEST(Cancel, TasksOfNoKnownJobAreStopped) {
@@ -252,10 +252,10 @@
     auto& job = f.add(s);
     f.up("n-1", "a");
     f.place_all();
-    EXPECT_EQ(job.places.size(), 2u);  // two of three may share a zone
+    EXPECT_EQ(job.placements.size(), 2u);  // two of three may share a zone
     f.up("n-2", "b");
     f.place_all();
-    EXPECT_EQ(job.places.size(), 3u);
+    EXPECT_EQ(job.placements.size(), 3u);
     EXPECT_EQ(f.on("n-2").size(), 1u);
 }
 
@@ -267,18 +267,18 @@
     f.up("n-1", "a");
     f.up("n-2", "b");
     f.place_all();
-    EXPECT_EQ(job.places.size(), 4u);
+    EXPECT_EQ(job.placements.size(), 4u);
     EXPECT_TRUE(f.on("n-1").empty() || f.on("n-2").empty());
 }
 
 TEST(Constraints, TheTeamLimitCountsTasksThatMayStillRun) {
-    placement::Rules rules;
+    placement::Config rules;
     rules.teams["crew"] = {0, 0, 3, 0};
     Fleet f(rules);
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1", 8));
     f.place_all();
-    EXPECT_EQ(job.places.size(), 3u);
+    EXPECT_EQ(job.placements.size(), 3u);
     f.machine("n-1").suspected = true;  // silent, but what it ran may go on
     f.up("n-2");
     f.place_all();
@@ -290,7 +290,7 @@
     f.up("n-1", "a", "small", true);
     auto& job = f.add(f.spec("wk-1"));
     f.place_all();
-    EXPECT_TRUE(job.places.empty());
+    EXPECT_TRUE(job.placements.empty());
     auto s = f.spec("wk-2");
     s.spot_ok = true;
     f.add(s);
@@ -305,10 +305,10 @@
     auto& job = f.add(s);
     f.up("n-1");
     f.place_all();
-    EXPECT_TRUE(job.places.empty());
+    EXPECT_TRUE(job.placements.empty());
     f.up("n-2");
     f.place_all();
-    ASSERT_EQ(job.places.size(), 3u);
+    ASSERT_EQ(job.placements.size(), 3u);
     std::set<std::uint64_t> numbers;
     for (auto name : {"n-1", "n-2"})
         for (auto& a : f.on(name)) numbers.insert(a.number);
@@ -325,7 +325,7 @@
     EXPECT_EQ(kills.size(), 2u);
     f.cluster->on_heartbeat(f.heartbeat(rest), true, f.now);
     f.place_all();
-    EXPECT_EQ(job.places.size(), 3u);
+    EXPECT_EQ(job.placements.size(), 3u);
 }
 
 TEST(Preemption, ProductionTakesRoomFromLowerWorkButNeverFromItsOwnLevel) {
@@ -453,7 +453,7 @@
     service.priority = Priority::production;
     auto& job = f.add(service);
     f.place_all();
-    EXPECT_EQ(job.places.size(), 3u);
+    EXPECT_EQ(job.placements.size(), 3u);
 }
 
 TEST(Drain, ANoticedMachineGetsNothingNewAndSavesWhatCanBeSaved) {
@@ -484,14 +484,14 @@
     for (int i = 0; i < 2; ++i) f.add(f.spec("wk-" + std::to_string(i), 100'000, 4));
     f.up("n-1");
     auto begin = std::chrono::steady_clock::now();
-    for (int i = 0; i < 200; ++i) f.cluster->round(f.now);
+    for (int i = 0; i < 200; ++i) f.cluster->schedule_round(f.now);
     EXPECT_LT(std::chrono::steady_clock::now() - begin, 2s);
     EXPECT_EQ(f.cluster->queue().waiting(), 199'999u);
 }
 
 // A fetch can take longer than a service may wait: lower work yields where the image already is.
 TEST(Preemption, AServiceWithLittleTimeGoesWhereItsImageIs) {
-    placement::Rules rules;
+    placement::Config rules;
     rules.teams["crew"] = {};
     rules.objectives = {{"wait", "web", 1.0, 1}};
     Fleet f(rules);
@@ -518,7 +518,7 @@
 // Saving takes longer than a replica may be away: the victim is not given the time.
 TEST(Preemption, VictimsSaveOnlyIfNoReplicaWaitsForIt) {
     for (double aim : {1.0, 60.0}) {
-        placement::Rules rules;
+        placement::Config rules;
         rules.teams["crew"] = {};
         rules.objectives = {{"wait", "web", aim, 1}};
         Fleet f(rules);
--- a/tests/cuts_test.cpp
+++ b/tests/cuts_test.cpp
@@ -25,7 +25,7 @@
         Machine& m = *mp;
         auto room = m.available();
         room -= m.reserved;
-        if (!s.need.fits(room) || !cluster.usable(m, now) || !cluster.allowed(s, m)) continue;
+        if (!s.need.fits(room) || !cluster.schedulable(m, now) || !cluster.eligible(s, m)) continue;
         double fetch_s = m.has_image(s.image)  ? 0
                          : m.fetching(s.image) ? 0.5 * s.image_gb / m.fetch_gb_per_s
                                                : s.image_gb / m.fetch_gb_per_s;
@@ -45,7 +45,7 @@
 struct CutWorld {
     static constexpr double lease_s = 10, cancel_s = 22;
     std::mt19937_64 random;
-    placement::Rules rules;
+    placement::Config rules;
     TimePoint now = TimePoint{} + 1000s, cut_until{};
     std::int64_t wall = 1'000'000;
     std::uint64_t fencing_token = 10;
@@ -97,7 +97,7 @@
         auto name = "n-" + std::to_string(++names);
         auto& m = cluster->add_machine(name, "small", zone, false, now);
         m.address = "127.0.0.1:9";
-        cluster->mark_machine_dirty(name);
+        cluster->mark_machine_changed(name);
         workers[name].zone = zone;
         workers[name].clock = 1 + (static_cast<double>(pick(3)) - 1) * 0.0005;
         booting[name] = up;
@@ -156,8 +156,9 @@
         if (how == 0) return;  // lost
         bound->heard("south", heartbeat, now, true);
         if (how == 1) return;  // its answer is
-        node->granted(now, now,
-                      {fencing_token, bound->timestamp_ms(now), false, cluster->holding_cancelled()});
+        node->granted(
+            now, now,
+            {fencing_token, bound->timestamp_ms(now), false, cluster->machines_with_cancelled_tasks()});
     }
     // Cut off with its zone, the node answers its workers by itself as far as it may.
     void keep_lease(const std::string& name) {
@@ -309,7 +310,7 @@
             case 1:
             case 2:
             case 3:
-                cluster->round(now);
+                cluster->schedule_round(now);
                 write(false);
                 break;
             case 4:
@@ -338,7 +339,7 @@
                 }
                 break;
             case 11:
-                cluster->round(now);
+                cluster->schedule_round(now);
                 write(pick(4) == 0);
                 break;
             case 12:
@@ -379,27 +380,28 @@
                         cancelled.try_emplace(it->first, now);
                     }
                 }
-                if (cluster->unsettled(now)) cluster->lead(++fencing_token, now);  // the token is renewed
+                if (cluster->has_unanswered_launch(now))
+                    cluster->lead(++fencing_token, now);  // the token is renewed
                 if (pick(12) == 0) successor();
         }
     }
     std::string wrong() {
         if (!broken.empty()) return broken;
         for (auto& [id, job] : cluster->jobs()) {
-            auto fast = cluster->rank(*job, now), plain = plain_rank(*cluster, *job, now);
+            auto fast = cluster->rank_machines(*job, now), plain = plain_rank(*cluster, *job, now);
             if (fast != plain)
                 return fmt::format("{} machines for {} by index, {} by a walk", fast.size(), id,
                                    plain.size());
         }
         for (auto& [name, m] : cluster->machines()) {
-            if (m->refile) continue;  // to be brought up to date by the next look
-            auto& filed = cluster->rooms().filed(*m).tally;
-            auto plain = placement::tally(*m);
-            if (std::abs(filed.free.cpus - m->available().cpus) > 1e-6 || filed.stops != plain.stops ||
-                filed.lower != plain.lower)
+            if (m->capacity_stale) continue;  // to be brought up to date by the next look
+            auto& indexed = cluster->capacity_index().find(*m).capacity;
+            auto plain = placement::attainable_capacity(*m);
+            if (std::abs(indexed.free.cpus - m->available().cpus) > 1e-6 ||
+                indexed.has_stopping != plain.has_stopping || indexed.may_free != plain.may_free)
                 return name + " is filed wrongly";
             for (int level = 0; level < wire::priority_levels; ++level)
-                if (std::abs(filed.reach(level).cpus - plain.reach(level).cpus) > 1e-6)
+                if (std::abs(indexed.up_to_level(level).cpus - plain.up_to_level(level).cpus) > 1e-6)
                     return name + " is filed with another reach";
         }
         return "";
--- a/tests/fuzz/untrusted.cpp
+++ b/tests/fuzz/untrusted.cpp
@@ -80,7 +80,7 @@
     reads_again<cells::parse_lent>(*body);
     reads_again<cells::parse_held>(*body);
     cells::parse_over(*body);
-    state::parse_past(*body);
+    state::parse_finished_record(*body);
     state::parse_assignment_shard(*body);
     try {
         depot::parse_description(*body);
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -113,7 +113,7 @@
     GoldenDirectory golden("keys");
     golden.document("keys", {{"job", state::job_key("wk-1")},
                              {"progress of a job", state::progress_key("wk-1")},
-                             {"finished job", state::past_key("wk-1")},
+                             {"finished job", state::finished_key("wk-1")},
                              {"machines 0", state::assignment_shard_key(0)},
                              {"machines 12", state::assignment_shard_key(12)},
                              {"machines 1234567", state::assignment_shard_key(1'234'567)},
@@ -161,12 +161,12 @@
 
 TEST(GoldenRecords, FinishedJobs) {
     GoldenDirectory golden("past");
-    auto rewrite = rewrite_by(state::parse_past, [](auto& value) { return to_json(value); });
+    auto rewrite = rewrite_by(state::parse_finished_record, [](auto& value) { return to_json(value); });
     wire::ErrorCount errors{2, wire::Failure{"wk-1/7", "n-7", 12}};
-    golden.message_and_malformed("failed", to_json(state::PastRecord{wire::JobState::failed, 11, errors}),
+    golden.message_and_malformed("failed", to_json(state::FinishedRecord{wire::JobState::failed, 11, errors}),
                                  rewrite);
-    golden.message("done", to_json(state::PastRecord{wire::JobState::done, 12, {}}), rewrite);
-    golden.message("cancelled", to_json(state::PastRecord{wire::JobState::cancelled, 0, {}}), rewrite);
+    golden.message("done", to_json(state::FinishedRecord{wire::JobState::done, 12, {}}), rewrite);
+    golden.message("cancelled", to_json(state::FinishedRecord{wire::JobState::cancelled, 0, {}}), rewrite);
 }
 
 TEST(GoldenRecords, MachinesRentalsLeaderAndMachineTypes) {
--- a/tests/guarantees_test.cpp
+++ b/tests/guarantees_test.cpp
@@ -19,8 +19,8 @@
     return config::read_quotas_text("{\"nodes\":[" + nodes + "]}").set;
 }
 
-placement::Rules two_teams(double guaranteed = 4) {
-    placement::Rules rules;
+placement::Config two_teams(double guaranteed = 4) {
+    placement::Config rules;
     rules.teams["crew"] = {guaranteed, 0, 0, 0};
     rules.teams["desk"] = {};
     return rules;
@@ -64,7 +64,7 @@
     }
 };
 
-quota::TreePtr build(const std::string& nodes, const placement::Rules& rules) {
+quota::TreePtr build(const std::string& nodes, const placement::Config& rules) {
     auto built = quota::Tree::build(lines(nodes), placement::quota_teams(rules.teams));
     for (auto& f : built.faults) ADD_FAILURE() << f.str();
     return built.tree;
@@ -83,9 +83,9 @@
     f.settle();
     ASSERT_EQ(f.used("desk"), 8);
     f.add(f.of("wk-2", "crew", 6, Priority::low));
-    f.cluster->round(f.now);
+    f.cluster->schedule_round(f.now);
     EXPECT_EQ(f.stopping(), 4u) << "the guarantee is 4 of the 6 that wait";
-    f.cluster->round(f.now);
+    f.cluster->schedule_round(f.now);
     EXPECT_EQ(f.stopping(), 4u) << "room that is being made is waited for";
     f.settle();
     f.place_all();
@@ -114,7 +114,7 @@
         s.need.cpus = 3;
         return s;
     }());
-    f.cluster->round(f.now);
+    f.cluster->schedule_round(f.now);
     ASSERT_EQ(f.stopping(), 3u);
     // One of the three is out. Its room fits a task of the borrower, who stands at a higher level.
     std::vector<TaskStatus> tasks;
@@ -145,7 +145,7 @@
     f.settle();
     auto mine = f.of("wk-2", "crew", 1, Priority::low);
     f.add(mine);
-    f.cluster->round(f.now);
+    f.cluster->schedule_round(f.now);
     EXPECT_EQ(f.stopping(), 2u) << "both tasks of the gang, for one CPU";
     f.settle();
     f.place_all();
@@ -161,7 +161,7 @@
 }
 
 TEST(Guarantees, ABurstOfASiblingDoesNotKeepAnotherBelowItsGuarantee) {
-    placement::Rules rules;
+    placement::Config rules;
     rules.teams["crew"] = {};
     rules.quotas = lines(R"({"name":"bureau","limit":{"cpus":8},"guarantee":{"cpus":8}},
         {"name":"crew","in":"bureau","team":"crew","guarantee":{"cpus":8}},
@@ -176,7 +176,7 @@
               "the limit of bureau: cpus in use 8, limit 8, wanted 1");
     // The machines have room, the limit has not: the sibling yields.
     f.add(f.of("wk-2", "crew", 5, Priority::low, "slips"));
-    f.cluster->round(f.now);
+    f.cluster->schedule_round(f.now);
     EXPECT_EQ(f.stopping(), 3u);
     f.settle();
     f.place_all();
@@ -212,8 +212,8 @@
     // The leader ends. Its successor reads the same record, and when it was written.
     auto changed = f.now;
     std::vector<placement::Write> shards;
-    f.cluster->mark_machine_dirty("n-1");
-    f.cluster->mark_machine_dirty("n-2");
+    f.cluster->mark_machine_changed("n-1");
+    f.cluster->mark_machine_changed("n-2");
     std::vector<state::MachineRecord> records;
     for (auto& w : f.write())
         if (state::parse_assignment_shard_key(w.key)) {
@@ -235,7 +235,7 @@
 }
 
 TEST(Guarantees, ALimitKeepsMachinesFromBeingRentedForWorkThatMayNotStart) {
-    placement::Rules rules;
+    placement::Config rules;
     rules.teams["crew"] = {0, 0, 4, 0};
     QuotaFleet f(rules);
     f.up("n-1");
@@ -276,7 +276,7 @@
 // between any two writes. Commands may come late.
 struct World {
     std::mt19937_64 random;
-    placement::Rules rules = without_leases();
+    placement::Config rules = without_leases();
     std::vector<std::string> trees;
     quota::TreePtr tree;
     TimePoint now = TimePoint{} + 1000s, changed{};
@@ -429,7 +429,7 @@
             case 1:
             case 2:
             case 3:
-                cluster->round(now);
+                cluster->schedule_round(now);
                 write(false);
                 break;
             case 4:
@@ -460,7 +460,7 @@
                 }
                 break;
             case 10:
-                cluster->round(now);
+                cluster->schedule_round(now);
                 write(true);
                 break;
             case 11:
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -24,11 +24,11 @@
     ASSERT_EQ(sent.size(), 1u);
     f.cluster->push_answered(f.machine("n-1"), sent, 10, false, true, f.now);
     f.cluster->on_heartbeat(f.heartbeat("n-1"), true, f.now);
-    EXPECT_EQ(job.places.size(), 1u);
+    EXPECT_EQ(job.placements.size(), 1u);
     EXPECT_TRUE(job.waiting.empty());
     // Once the worker has seen a newer token, the old launch is dead.
     f.cluster->on_heartbeat(f.heartbeat("n-1", {}, 11), true, f.now);
-    EXPECT_TRUE(job.places.empty());
+    EXPECT_TRUE(job.placements.empty());
     EXPECT_EQ(job.waiting.size(), 1u);
 }
 
@@ -58,9 +58,9 @@
     ASSERT_EQ(sent.size(), 1u);
     // An answer of /commands may have been made before the response arrived.
     f.cluster->on_heartbeat(f.heartbeat("n-1"), false, f.now);
-    EXPECT_EQ(job.places.size(), 1u);
+    EXPECT_EQ(job.placements.size(), 1u);
     f.cluster->on_heartbeat(f.heartbeat("n-1"), true, f.now);
-    EXPECT_TRUE(job.places.empty());
+    EXPECT_TRUE(job.placements.empty());
 }
 
 // The launch of a cancelled job's task was pushed without an answer and may be carried out minutes later,
@@ -100,7 +100,7 @@
     f.place_all();
     f.cluster->push_commands(f.machine("n-1"), f.now);
     f.cluster->on_heartbeat(f.heartbeat("n-1"), true, f.now);
-    EXPECT_EQ(job.places.size(), 1u);
+    EXPECT_EQ(job.placements.size(), 1u);
 }
 
 TEST_F(MachineTest, OlderHeartbeatsChangeNothing) {
@@ -113,7 +113,7 @@
     old.agent_epoch = 0;
     old.seq = 999;
     EXPECT_FALSE(f.cluster->on_heartbeat(old, true, f.now));
-    EXPECT_EQ(job.places.size(), 1u);
+    EXPECT_EQ(job.placements.size(), 1u);
 }
 
 TEST_F(MachineTest, AHigherAgentEpochProvesTheEarlierOneEmpty) {
@@ -126,7 +126,7 @@
     r.agent_epoch = 2;
     r.seq = 1;
     EXPECT_TRUE(f.cluster->on_heartbeat(r, true, f.now));
-    EXPECT_TRUE(job.places.empty());
+    EXPECT_TRUE(job.placements.empty());
 }
 
 TEST_F(MachineTest, ARefusedPushIsSentAgain) {
@@ -214,7 +214,7 @@
     f.cluster->on_heartbeat(fresh, false, f.now);
     auto& job = f.add(f.spec("wk-1"));
     f.place_all();
-    ASSERT_EQ(job.places.size(), 1u);
+    ASSERT_EQ(job.placements.size(), 1u);
     EXPECT_GE(f.machine("n-1").lease_expiry(20, f.cluster->acquired()), f.now + 20s);
     // The same for a session that follows one whose reports were answered.
     f.machine("n-1").last_answer = f.now;
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -57,7 +57,7 @@
     ASSERT_TRUE(q);
     EXPECT_TRUE(q->cancelled);
     EXPECT_EQ(q->done.size(), 3u);
-    EXPECT_FALSE(parse_past(wire::Json{{"state", "nonsense"}}));
+    EXPECT_FALSE(parse_finished_record(wire::Json{{"state", "nonsense"}}));
 }
 
 TEST(Queue, OneFirstComeQueuePerLevelAndABound) {
--- a/tests/retries_test.cpp
+++ b/tests/retries_test.cpp
@@ -24,7 +24,7 @@
         cluster->on_heartbeat(heartbeat(name, {failed}, cluster->fencing_token()), true, now);
         return failed;
     }
-    wire::JobState past() { return cluster->past("wk-1").value().state; }
+    wire::JobState past() { return cluster->finished_job("wk-1").value().state; }
     // The records as a successor reads them.
     std::map<std::string, std::optional<wire::Json>> store;
     void keep() {
@@ -56,7 +56,7 @@
     ASSERT_EQ(sent.size(), 2u);
     auto other = sent[sent[0].attempt.task.index == 1 ? 0 : 1].attempt;
     for (int i = 0; i < 2; ++i) {
-        auto task0 = f.cluster->find_job("wk-1")->places.at(0).at(0);
+        auto task0 = f.cluster->find_job("wk-1")->placements.at(0).at(0);
         TaskStatus failed{{{"wk-1", 0}, task0.second}, TaskState::exited, Cause::error, false};
         TaskStatus running{other, TaskState::running, Cause::none, false};
         f.cluster->on_heartbeat(f.heartbeat("n-1", {failed, running}), true, f.now);
@@ -75,8 +75,8 @@
     f.cluster->on_heartbeat(f.heartbeat("n-1", {}), true, f.now);
     f.write();
     EXPECT_EQ(f.past(), wire::JobState::failed);
-    EXPECT_EQ(f.cluster->past("wk-1")->errors->errors, 2u);
-    EXPECT_EQ(f.cluster->past("wk-1")->errors->last->machine, "n-1");
+    EXPECT_EQ(f.cluster->finished_job("wk-1")->errors->errors, 2u);
+    EXPECT_EQ(f.cluster->finished_job("wk-1")->errors->last->machine, "n-1");
 }
 
 TEST(Retries, WithoutTheFieldAJobIsTriedForGood) {
@@ -100,7 +100,7 @@
     // Not written yet: neither reaped nor started again.
     EXPECT_TRUE(f.cluster->reply_commands(f.machine("n-1"), f.now).empty());
     f.now += 60s;
-    EXPECT_FALSE(f.cluster->round(f.now));
+    EXPECT_FALSE(f.cluster->schedule_round(f.now));
     EXPECT_TRUE(job.waiting.empty());
     f.write();
     EXPECT_EQ(job.waiting.size(), 1u);
@@ -131,7 +131,7 @@
     auto s = f.limited(0);
     f.up("n-1");
     f.add(s);
-    f.cluster->round(f.now);
+    f.cluster->schedule_round(f.now);
     f.keep();
     auto sent = f.run("n-1");
     ASSERT_EQ(sent.size(), 1u);
@@ -140,26 +140,26 @@
     // The leader dies before it writes. Its successor starts nothing until the machine has spoken.
     f.successor(20, s);
     f.up("n-2");
-    EXPECT_FALSE(f.cluster->round(f.now));
+    EXPECT_FALSE(f.cluster->schedule_round(f.now));
     f.cluster->on_heartbeat(f.heartbeat("n-1", {failed}, 20), true, f.now);
     EXPECT_TRUE(f.cluster->find_job("wk-1")->failed);
     f.write();
     f.write();
     EXPECT_EQ(f.past(), wire::JobState::failed);
-    EXPECT_EQ(f.cluster->past("wk-1")->errors->errors, 1u);
+    EXPECT_EQ(f.cluster->finished_job("wk-1")->errors->errors, 1u);
 }
 
 TEST(Retries, TheAssignmentShardNamesAFailureUntilItIsCounted) {
     Counting f;
     f.up("n-1");
     f.add(f.limited(2));
-    f.cluster->round(f.now);
+    f.cluster->schedule_round(f.now);
     f.write();
     auto sent = f.run("n-1");
     ASSERT_EQ(sent.size(), 1u);
     TaskStatus failed{sent[0].attempt, TaskState::exited, Cause::error, false};
     f.cluster->on_heartbeat(f.heartbeat("n-1", {failed}), true, f.now);
-    f.cluster->mark_machine_dirty("n-1");
+    f.cluster->mark_machine_changed("n-1");
     auto writes = f.cluster->take_writes(1, 1 << 20, f.now, f.wall);
     EXPECT_EQ(Fleet::recorded(writes).at("n-1").size(), 1u);
 }
--- a/tests/spill_test.cpp
+++ b/tests/spill_test.cpp
@@ -199,17 +199,17 @@
     f.up("n-1");
     cells::IndexSet part;
     part.insert_range(2, 4);
-    f.cluster->add_borrowed({f.spec("wk-1", 10), 5}, part, {}, f.now, f.wall);
+    f.cluster->add_delegated_shard({f.spec("wk-1", 10), 5}, part, {}, f.now, f.wall);
     f.place_all();
     f.run("n-1");
     std::set<std::uint32_t> started;
     for (auto& a : f.on("n-1")) started.insert(a.task.index);
     EXPECT_EQ(started, (std::set<std::uint32_t>{2, 3}));
-    f.cluster->take_borrowed_changes();
+    f.cluster->take_changed_delegated_shards();
     std::vector<TaskStatus> ended;
     for (auto& a : f.on("n-1")) ended.push_back({a, TaskState::exited, Cause::done, false});
     f.cluster->on_heartbeat(f.heartbeat("n-1", ended), true, f.now);
-    EXPECT_EQ(f.cluster->take_borrowed_changes().size(), 1u);
+    EXPECT_EQ(f.cluster->take_changed_delegated_shards().size(), 1u);
     for (auto& w : f.write()) EXPECT_TRUE(state::parse_assignment_shard_key(w.key)) << w.key;
     auto reaps = [&] {
         int n = 0;
@@ -218,9 +218,9 @@
     };
     EXPECT_EQ(reaps(), 0);
     auto& job = *f.cluster->find_job("wk-1");
-    f.cluster->borrowed_recorded(job, part);
+    f.cluster->delegated_results_recorded(job, part);
     EXPECT_EQ(reaps(), 2);
-    f.cluster->drop_borrowed(job);
+    f.cluster->drop_delegated_shard(job);
     EXPECT_EQ(f.cluster->find_job("wk-1"), nullptr);
     EXPECT_EQ(f.cluster->queue().waiting(), 0u);
 }
@@ -229,7 +229,7 @@
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1", 10));
-    auto away = f.cluster->lend(job, 7);
+    auto away = f.cluster->delegate(job, 7);
     EXPECT_EQ(away.size(), 7u);
     EXPECT_TRUE(away.contains(9));
     f.place_all();
@@ -241,30 +241,30 @@
     f.write();
     EXPECT_EQ(job.job_state(), wire::JobState::running);
     // All of it is done, and not over before the part is closed.
-    for (std::uint32_t i = 3; i < 10; ++i) f.cluster->finish_away(job, i);
+    for (std::uint32_t i = 3; i < 10; ++i) f.cluster->finish_delegated(job, i);
     f.write();
     ASSERT_NE(f.cluster->find_job("wk-1"), nullptr);
-    f.cluster->take_back(job, away, away);
+    f.cluster->reclaim_delegated(job, away, away);
     f.write();
     EXPECT_EQ(f.cluster->find_job("wk-1"), nullptr);
-    EXPECT_EQ(f.cluster->past("wk-1")->state, wire::JobState::done);
+    EXPECT_EQ(f.cluster->finished_job("wk-1")->state, wire::JobState::done);
 }
 
 TEST(Lent, WhatComesBackUndoneWaitsAgain) {
     Fleet f;
     auto& job = f.add(f.spec("wk-1", 10));
-    auto away = f.cluster->lend(job, 4);
+    auto away = f.cluster->delegate(job, 4);
     cells::IndexSet done;
     done.insert(9);
-    f.cluster->take_back(job, away, done);
+    f.cluster->reclaim_delegated(job, away, done);
     EXPECT_EQ(job.waiting.size(), 9u);
     EXPECT_TRUE(job.done.contains(9));
     // Not of a job that is cancelled meanwhile.
-    away = f.cluster->lend(job, 4);
+    away = f.cluster->delegate(job, 4);
     f.cluster->cancel(job, f.now);
     f.write();
     ASSERT_NE(f.cluster->find_job("wk-1"), nullptr) << "its part is still out";
-    f.cluster->take_back(job, away, {});
+    f.cluster->reclaim_delegated(job, away, {});
     EXPECT_TRUE(job.waiting.empty());
     f.write();
     EXPECT_EQ(f.cluster->find_job("wk-1"), nullptr);
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -20,8 +20,8 @@
 using wire::WorkerHeartbeat;
 
 // Rules of a fleet whose workers are always answered: no lease runs out.
-inline placement::Rules without_leases() {
-    placement::Rules rules;
+inline placement::Config without_leases() {
+    placement::Config rules;
     rules.lease_s = 1e6;
     return rules;
 }
@@ -58,11 +58,11 @@
 struct Fleet {
     TimePoint now = TimePoint{} + 1000s;
     std::int64_t wall = 1'000'000;
-    placement::Rules rules;
+    placement::Config rules;
     std::unique_ptr<Cluster> cluster;
     std::map<std::string, std::uint64_t> seq;
 
-    explicit Fleet(placement::Rules r = {}) : rules(std::move(r)) {
+    explicit Fleet(placement::Config r = {}) : rules(std::move(r)) {
         if (rules.teams.empty()) rules.teams["crew"] = {};
         restart(10);
     }
@@ -143,7 +143,7 @@
         return commands;
     }
     void place_all() {
-        cluster->round(now);
+        cluster->schedule_round(now);
         write();
     }
 };
