--- a/bench/quota_bench.cpp
+++ b/bench/quota_bench.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 // Bureaus of ten teams of projects, each with limits that are never met and guarantees that are.
-std::vector<quota::Line> tree(std::size_t nodes) {
-    std::vector<quota::Line> out;
+std::vector<quota::QuotaEntry> tree(std::size_t nodes) {
+    std::vector<quota::QuotaEntry> out;
     if (nodes == 0) return out;
     out.push_back({"crew", "", "crew", {1e6, {}, {}}, {100, {}, {}}});
     for (std::size_t i = 1; i < nodes; ++i) {
--- a/bench/quota_day.cpp
+++ b/bench/quota_day.cpp
@@ -24,7 +24,7 @@
 constexpr int machines = 200, seconds = 2700;
 constexpr double cpus_each = 4, grace_bound_s = 12;  // a report, a save, a report, and the start
 
-std::vector<quota::Line> tree(double bureau_limit) {
+std::vector<quota::QuotaEntry> tree(double bureau_limit) {
     return {{"airport", "", "", {bureau_limit, {}, {}}, {500, {}, {}}},
             {"counter", "airport", "counterops", {}, {400, {}, {}}},
             {"orderdesk", "airport/counter", "", {200, {}, {}}, {160, {}, {}}},
@@ -93,7 +93,7 @@
     double uniform(double a, double b) { return std::uniform_real_distribution<double>(a, b)(random_); }
     quota::TreePtr build(double limit) {
         auto built = quota::Tree::build(tree(limit), placement::quota_teams(rules_.teams));
-        for (auto& f : built.faults) std::fprintf(stderr, "%s\n", f.str().c_str());
+        for (auto& f : built.errors) std::fprintf(stderr, "%s\n", f.str().c_str());
         return built.tree;
     }
     void submit(const std::string& team, const std::string& project, Priority p, JobKind kind,
@@ -140,7 +140,7 @@
         for (auto& n : tree_->nodes()) force_[n.path] = std::max(n.limit.cpus, used(n.path));
     }
     double used(const std::string& path) {
-        auto n = cluster_ ? cluster_->ledger().tree().by_path(path) : std::nullopt;
+        auto n = cluster_ ? cluster_->ledger().tree().find_by_path(path) : std::nullopt;
         return n ? cluster_->ledger().used(*n).cpus : 0;
     }
     void lead() {
@@ -251,7 +251,7 @@
             for (auto& [a, x] : w.tasks) {
                 if (x.state == TaskState::exited) continue;
                 auto& spec = specs_.at(a.task.job);
-                for (auto n = *tree_->account(spec.team, spec.project); n != quota::root;
+                for (auto n = *tree_->account_for(spec.team, spec.project); n != quota::root;
                      n = tree_->node(n).parent)
                     real[tree_->node(n).path] += spec.need.cpus;
             }
@@ -270,7 +270,7 @@
                 if (job->spec.project == "slips") waiting += job->waiting.size();
         std::printf(",%llu\n", static_cast<unsigned long long>(waiting));
         // Below the guarantee while work that fits it waits. The first minute fills an empty fleet.
-        const auto promised = tree_->node(*tree_->by_path("airport/counter/slips")).guarantee.cpus;
+        const auto promised = tree_->node(*tree_->find_by_path("airport/counter/slips")).guarantee.cpus;
         if (cluster_ && waiting > 0 && real["airport/counter/slips"] + 1 <= promised)
             worst_wait_ = std::max(worst_wait_, ++below_);
         else
--- a/src/api/cells.cpp
+++ b/src/api/cells.cpp
@@ -185,7 +185,7 @@
         return;
     }
     if (!job || l.writing || l.asking) return;
-    if (l.lender.run_out(day_now(), host_.clock_error))
+    if (l.lender.run_out(day_now(), host_.max_clock_error))
         spdlog::warn(
             "cell {} isn't heard: its part of {} comes back, {} of {} tasks done there as far as known", l.to,
             id, l.lender.done().size(), l.lender.record().tasks.size());
--- a/src/api/cells.hpp
+++ b/src/api/cells.hpp
@@ -24,7 +24,7 @@
         std::function<bool()> may_act;
         std::function<void()> wake_writes, wake_places;
         std::function<void(std::string, net::Task<>)> spawn;  // ends with the term
-        std::chrono::milliseconds clock_error;
+        std::chrono::milliseconds max_clock_error;
         // A cancelled job's tasks are gone within this; and how long after it was cancelled the last answer
         // that renews a lease of a machine that may hold one of them may be given, so that this holds.
         std::chrono::milliseconds gone_within, renewed_within;
@@ -72,7 +72,9 @@
     const std::string& node_of(const std::string& cell);
     std::optional<DayTime> end_for(const std::string& job_class) const;
     // How long before its end a part must be told to stop here.
-    std::chrono::milliseconds stop_ahead() const { return host_.gone_within + 2 * host_.clock_error + slack; }
+    std::chrono::milliseconds stop_ahead() const {
+        return host_.gone_within + 2 * host_.max_clock_error + slack;
+    }
     DayTime stop_by(DayTime until) const { return until - stop_ahead(); }
     void stop_borrowed(const std::string& job);
 
--- a/src/api/cloud.cpp
+++ b/src/api/cloud.cpp
@@ -61,7 +61,7 @@
             }
             if (!failed.empty()) spawn("return failed", give_back(failed, false));
         }
-        co_await net::sleep_for(secs(std::max(3.0, 2.5 / services_.settings.cloud_rps)));
+        co_await net::sleep_for(secs(std::max(3.0, 2.5 / services_.settings.cloud_requests_per_s)));
     }
 }
 
@@ -70,7 +70,7 @@
     for (;;) {
         co_await net::sleep_for(700ms);
         // Requests that the cloud's rate holds back, or that have no answer, are not heaped up.
-        auto most_open = static_cast<std::size_t>(std::max(3.0, services_.settings.cloud_rps));
+        auto most_open = static_cast<std::size_t>(std::max(3.0, services_.settings.cloud_requests_per_s));
         if (!may_act() || open_requests_.size() >= most_open) continue;
         std::vector<autoscaler::MachineOrder> coming;
         for (auto& [request, h] : open_requests_) coming.push_back({{h.type, h.zone, h.spot}, h.count});
--- a/src/api/leader.cpp
+++ b/src/api/leader.cpp
@@ -10,16 +10,16 @@
 
 Leader::Leader(Services services, std::uint64_t fencing_token, TimePoint acquired)
     : services_(services),
-      cluster_(services.settings.rules),
+      cluster_(services.settings.placement),
       duties_(services.io),
       place_wake_(services.io),
       write_wake_(services.io),
       acquired_(acquired),
-      failure_detector_(
-          {secs(services.settings.rules.heartbeat_s), secs(services.settings.rules.lease_s), asked_at_once}),
-      reachability_(secs(services.settings.rules.heartbeat_s), acquired),
+      failure_detector_({secs(services.settings.placement.heartbeat_s),
+                         secs(services.settings.placement.lease_s), asked_at_once}),
+      reachability_(secs(services.settings.placement.heartbeat_s), acquired),
       renewal_period_(
-          leases::renewal_period(services.settings.rules.lease_s, services.settings.rules.cancel_s)),
+          leases::renewal_period(services.settings.placement.lease_s, services.settings.placement.cancel_s)),
       // Reckoned with even where it is switched off: a predecessor may have had it on.
       renewal_bound_(services.settings.member_names(), renewal_period_, acquired, fencing_token) {
     cluster_.lead(fencing_token, acquired);
@@ -31,8 +31,8 @@
             cluster_, services_.state, services_.peers, [this] { return may_act(); },
             [this] { write_wake_.wake(); }, [this] { place_wake_.wake(); },
             [this](std::string name, Task<> duty) { spawn(std::move(name), std::move(duty)); },
-            services_.settings.clock_error,
-            std::chrono::ceil<std::chrono::milliseconds>(longer(secs(services_.settings.rules.cancel_s))),
+            services_.settings.max_clock_error,
+            std::chrono::ceil<std::chrono::milliseconds>(longer(secs(services_.settings.placement.cancel_s))),
             std::chrono::floor<std::chrono::milliseconds>(renewal_period_)});
 }
 
@@ -184,7 +184,7 @@
 }
 
 Task<> Leader::write_loop() {
-    const auto ops = std::max<std::size_t>(4, services_.settings.rules.txn_ops);
+    const auto ops = std::max<std::size_t>(4, services_.settings.placement.txn_ops);
     TimePoint last_lazy{};
     for (;;) {
         if (!cluster_.has_writes()) co_await write_wake_.wait(1s);
@@ -194,7 +194,7 @@
         // waited.
         auto progress_due = [&] {
             auto spread = secs(static_cast<double>(cluster_.changes()) /
-                               std::max(1.0, 0.25 * services_.settings.state_write_rps));
+                               std::max(1.0, 0.25 * services_.settings.state_writes_per_s));
             return Clock::now() - last_lazy >= std::max<Clock::duration>(250ms, spread);
         };
         if (!cluster_.has_urgent_writes() && !progress_due()) {
@@ -268,7 +268,7 @@
         cluster_.lead(services_.election.fencing_token(), acquired_);
         const bool moved = cluster_.tick(
             now, [&](const std::string& zone) { return renewal_bound_.latest_renewal(zone, now); });
-        const auto& rules = services_.settings.rules;
+        const auto& rules = services_.settings.placement;
         int asked = 0;
         bool any_up = false;
         std::size_t up = 0;
--- a/src/api/leader.hpp
+++ b/src/api/leader.hpp
@@ -70,13 +70,13 @@
     // Another node's heartbeat; what it may keep until the next, if its answer may say so.
     std::optional<leases::RenewalGrant> heard(const std::string& node, const leases::Heartbeat& heartbeat);
     std::optional<leases::RenewalGrant> grant() const;
-    std::uint64_t quota_version() const { return book_.version(); }
+    std::uint64_t quota_version() const { return quotas_.version(); }
     const quota::Tree& quota_tree() const { return cluster_.ledger().tree(); }
 
   private:
     Task<> load();
     Task<> load_quotas();
-    void use_quotas(quota::Book book, quota::TreePtr tree);
+    void use_quotas(quota::VersionedQuotas book, quota::TreePtr tree);
     Task<> place_loop();
     Task<> write_loop();
     Task<> tick_loop();
@@ -109,7 +109,7 @@
     net::Signal place_wake_, write_wake_;
     TimePoint acquired_;
     bool loaded_ = false, stopped_ = false, refreshing_fencing_token_ = false;
-    quota::Book book_;
+    quota::VersionedQuotas quotas_;
     bool changing_quotas_ = false;
     std::uint64_t watch_from_ = 0, requests_made_ = 0;
     std::map<std::string, wire::WorkerHeartbeat> early_;  // heartbeats before the records were read
--- a/src/api/node.cpp
+++ b/src/api/node.cpp
@@ -28,11 +28,12 @@
 Node::Node(net::asio::io_context& io, const settings::Settings& settings)
     : io_(io),
       settings_(settings),
-      state_(io, settings.state, settings.state_rps, settings.state_write_rps, settings.members.size() + 1),
-      cloud_(io, settings.cloud, settings.cloud_rps),
+      state_(io, settings.state_service_address, settings.state_requests_per_s, settings.state_writes_per_s,
+             settings.members.size() + 1),
+      cloud_(io, settings.cloud_address, settings.cloud_requests_per_s),
       workers_(io, 1, static_cast<std::size_t>(settings.max_connections * 0.3)),
       peers_(io, 8),
-      election_(io, settings.node, peers_of(settings), state_, peers_,
+      election_(io, settings.node_name, peers_of(settings), state_, peers_,
                 election::Timing{settings.leader_lease, settings.lease_vote}),
       public_server_(io, static_cast<std::size_t>(settings.max_connections * 0.55)),
       peer_server_(io, static_cast<std::size_t>(settings.max_connections * 0.1)),
@@ -60,8 +61,8 @@
 }
 
 void Node::start() {
-    public_server_.listen(settings_.listen);
-    peer_server_.listen(settings_.peer_listen);
+    public_server_.listen(settings_.listen_address);
+    peer_server_.listen(settings_.peer_listen_address);
     auto ended = [](const char* what) {
         return [what](std::exception_ptr e) {
             try {
--- a/src/api/node_operators.cpp
+++ b/src/api/node_operators.cpp
@@ -64,23 +64,23 @@
 Task<std::optional<std::string>> Node::check_project(const wire::JobSpec& spec) {
     if (spec.project.empty()) co_return std::nullopt;
     const std::string refusal = "unknown project '" + spec.project + "' of team " + spec.team;
-    if (!settings_.rules.quotas) co_return refusal + ": quotas are not switched on";
+    if (!settings_.placement.quotas) co_return refusal + ": quotas are not switched on";
     if (auto kept = leader_; leader() && kept->loaded()) {
-        if (kept->quota_tree().project(spec.team, spec.project)) co_return std::nullopt;
+        if (kept->quota_tree().find_project(spec.team, spec.project)) co_return std::nullopt;
         co_return refusal;
     }
-    if (known_quotas_ && known_quotas_->project(spec.team, spec.project)) co_return std::nullopt;
+    if (known_quotas_ && known_quotas_->find_project(spec.team, spec.project)) co_return std::nullopt;
     // It may have been added since: a refusal needs a fresh look. Where none can be had the job is taken, and
     // charged to the nearest node above.
-    quota::Book book;
-    const auto outcome = co_await read_quotas(state_, settings_.rules.value_bytes, book);
+    quota::VersionedQuotas book;
+    const auto outcome = co_await read_quotas(state_, settings_.placement.value_bytes, book);
     if (outcome != QuotasRead::ok && outcome != QuotasRead::none) co_return std::nullopt;
-    auto lines = *settings_.rules.quotas;
-    if (outcome == QuotasRead::ok) lines = book.lines();
-    auto built = quota::Tree::build(std::move(lines), placement::quota_teams(settings_.rules.teams));
+    auto lines = *settings_.placement.quotas;
+    if (outcome == QuotasRead::ok) lines = book.entries();
+    auto built = quota::Tree::build(std::move(lines), placement::quota_teams(settings_.placement.teams));
     if (!built.tree) co_return std::nullopt;
     known_quotas_ = built.tree;
-    if (known_quotas_->project(spec.team, spec.project)) co_return std::nullopt;
+    if (known_quotas_->find_project(spec.team, spec.project)) co_return std::nullopt;
     co_return refusal;
 }
 
--- a/src/api/node_submissions.cpp
+++ b/src/api/node_submissions.cpp
@@ -38,8 +38,8 @@
 }
 
 std::optional<Node::Refusal> Node::refused_by_settings(const wire::JobSpec& spec) const {
-    auto team = settings_.rules.teams.find(spec.team);
-    if (team == settings_.rules.teams.end()) return Refusal{422, "unknown team"};
+    auto team = settings_.placement.teams.find(spec.team);
+    if (team == settings_.placement.teams.end()) return Refusal{422, "unknown team"};
     const double at_once = spec.kind == wire::JobKind::array ? 1.0 : spec.tasks;
     const auto& limits = team->second;
     if ((limits.cpus_max > 0 && spec.need.cpus * at_once > limits.cpus_max + 1e-6) ||
@@ -65,7 +65,7 @@
     } else {
         for (auto& peer : election_.peers())
             if (peer.leading && Clock::now() - peer.heard < peer_word_holds &&
-                peer.waiting + spec.tasks > settings_.rules.queue_bound)
+                peer.waiting + spec.tasks > settings_.placement.queue_bound)
                 admitted = false;
     }
     if (admitted) return std::nullopt;
--- a/src/api/quotas.cpp
+++ b/src/api/quotas.cpp
@@ -6,7 +6,7 @@
 #include "api/leader.hpp"
 
 namespace barrowrun::api {
-using quota::Book;
+using quota::VersionedQuotas;
 using state::Outcome;
 using namespace std::chrono_literals;
 
@@ -38,20 +38,20 @@
     return differ == 0;
 }
 
-net::Task<QuotasRead> read_quotas(state::StateClient& state, std::size_t value_bytes, Book& out) {
+net::Task<QuotasRead> read_quotas(state::StateClient& state, std::size_t value_bytes, VersionedQuotas& out) {
     std::string trouble;
     for (int tries = 0; tries < 3; ++tries) {
-        auto list = co_await state.list(quota::key_prefix);
+        auto list = co_await state.list(quota::record_prefix);
         if (!list.ok) co_return QuotasRead::no_answer;
         std::map<std::string, Json> records;
         for (auto& item : list.items) records[item.key] = std::move(item.value);
         if (!records.contains(quota::head_key)) co_return QuotasRead::none;
-        auto book = Book::read(records, value_bytes);
+        auto book = VersionedQuotas::from_records(records, value_bytes);
         auto head = co_await state.get(quota::head_key);
         if (head.outcome != Outcome::ok) co_return QuotasRead::no_answer;
         // Changed while it was read: a slot may hold what is older or newer than the head says.
         if (head.value != records[quota::head_key]) continue;
-        if (auto* b = std::get_if<Book>(&book)) {
+        if (auto* b = std::get_if<VersionedQuotas>(&book)) {
             out = std::move(*b);
             co_return QuotasRead::ok;
         }
@@ -65,33 +65,34 @@
 
 // ---- a term's part -------------------------------------------------------------------------------------
 
-void Leader::use_quotas(Book book, quota::TreePtr tree) {
+void Leader::use_quotas(VersionedQuotas book, quota::TreePtr tree) {
     // When limits were lowered is a time of day: by how much that is off, what drains has more or less
     // patience.
     auto ago = std::clamp<std::int64_t>(wall_ms() - book.changed_ms(), 0, 86'400'000);
-    book_ = std::move(book);
-    cluster_.set_quotas(std::move(tree), Clock::now() - std::chrono::milliseconds(ago), book_.shrink_s());
+    quotas_ = std::move(book);
+    cluster_.set_quotas(std::move(tree), Clock::now() - std::chrono::milliseconds(ago),
+                        quotas_.over_limit_grace_s());
 }
 
 net::Task<> Leader::load_quotas() {
-    const auto& rules = services_.settings.rules;
+    const auto& rules = services_.settings.placement;
     if (!rules.quotas) co_return;
     const auto teams = placement::quota_teams(rules.teams);
-    book_ = Book(*rules.quotas, rules.value_bytes, rules.shrink_s);
+    quotas_ = VersionedQuotas(*rules.quotas, rules.value_bytes, rules.over_limit_grace_s);
     for (;;) {
-        Book book;
+        VersionedQuotas book;
         const auto outcome = co_await read_quotas(services_.state, rules.value_bytes, book);
         if (outcome == QuotasRead::no_answer) {
             co_await net::sleep_for(200ms);
             continue;
         }
         if (outcome == QuotasRead::ok) {
-            auto built = quota::Tree::build(book.lines(), teams, book.version());
+            auto built = quota::Tree::build(book.entries(), teams, book.version());
             if (built.tree) {
                 use_quotas(std::move(book), std::move(built.tree));
             } else {
                 // The platform's file has changed under it. Its limits and the operator's file hold.
-                for (auto& f : built.faults) spdlog::error("quotas on record: {}", f.str());
+                for (auto& f : built.errors) spdlog::error("quotas on record: {}", f.str());
             }
         }
         co_return;
@@ -100,7 +101,7 @@
 
 net::Task<Response> Leader::change_quotas(Json body) {
     auto self = shared_from_this();
-    const auto& rules = services_.settings.rules;
+    const auto& rules = services_.settings.placement;
     if (!rules.quotas) co_return problem(409, "quotas are not switched on: see deploy/quotas.json");
     if (!loaded_ || !may_act()) co_return problem(503, "not now", 1);
     auto parsed = quota::parse_change(body);
@@ -108,24 +109,24 @@
     auto& change = std::get<quota::Change>(parsed);
     if (changing_quotas_) co_return problem(503, "another change is under way", 1);
     // The same request again, since its answer was lost.
-    for (auto& e : book_.history())
+    for (auto& e : quotas_.history())
         if (!change.nonce.empty() && e.nonce == change.nonce)
             co_return Response{200, {{"version", e.version}}};
-    if (change.base != book_.version()) {
-        std::string by = book_.history().empty() ? "" : book_.history().back().by;
+    if (change.base_version != quotas_.version()) {
+        std::string by = quotas_.history().empty() ? "" : quotas_.history().back().author;
         Json answer{{"error", fmt::format("the quotas are at version {} by now{}: read them, and change that",
-                                          book_.version(), by.empty() ? "" : ", by " + by)},
-                    {"version", book_.version()}};
+                                          quotas_.version(), by.empty() ? "" : ", by " + by)},
+                    {"version", quotas_.version()}};
         co_return Response{409, std::move(answer)};
     }
-    auto result = book_.next(change, placement::quota_teams(rules.teams), wall_ms());
-    if (auto* faults = std::get_if<std::vector<quota::Fault>>(&result)) {
+    auto result = quotas_.with_change(change, placement::quota_teams(rules.teams), wall_ms());
+    if (auto* faults = std::get_if<std::vector<quota::ValidationError>>(&result)) {
         Json list = Json::array();
         for (std::size_t i = 0; i < std::min<std::size_t>(faults->size(), 50); ++i)
             list.push_back((*faults)[i].str());
         co_return Response{422, {{"error", faults->front().str()}, {"faults", std::move(list)}}};
     }
-    auto& next = std::get<Book::Next>(result);
+    auto& next = std::get<VersionedQuotas::NextVersion>(result);
     struct Flag {
         bool& on;
         explicit Flag(bool& f) : on(f) { on = true; }
@@ -168,11 +169,11 @@
         }
     }
     spdlog::info("quotas are at version {}: {} nodes set, {} dropped, by {} ({})", next.book.version(),
-                 change.set.size(), change.drop.size(), change.by, change.why);
+                 change.set_entries.size(), change.removed_paths.size(), change.author, change.reason);
     use_quotas(std::move(next.book), next.tree);
     place_wake_.wake();
     if (!may_act()) co_return problem(503, "this node no longer leads: look whether the change was made", 1);
-    co_return Response{200, {{"version", book_.version()}}};
+    co_return Response{200, {{"version", quotas_.version()}}};
 }
 
 Response Leader::quota_page(std::uint64_t since, std::uint64_t page) const {
@@ -201,23 +202,24 @@
                   {"waiting", waiting[n]}};
         if (!node.team.empty()) line["team"] = node.team;
         // What an operator wrote, as it was written: by itself a team has nothing.
-        if (node.line != quota::no_node) line["given"] = quota::to_json(tree.lines()[node.line]);
+        if (node.entry_index != quota::no_node)
+            line["given"] = quota::to_json(tree.entries()[node.entry_index]);
         nodes.push_back(std::move(line));
     }
-    Json out{{"version", book_.version()},
-             {"shrink_s", book_.shrink_s()},
+    Json out{{"version", quotas_.version()},
+             {"shrink_s", quotas_.over_limit_grace_s()},
              {"nodes", std::move(nodes)},
              {"next", end},
              {"truncated", end < tree.size()}};
     if (first == 1) {
         Json teams = Json::array(), history = Json::array();
-        for (auto& t : placement::quota_teams(services_.settings.rules.teams))
+        for (auto& t : placement::quota_teams(services_.settings.placement.teams))
             teams.push_back(
                 {{"name", t.name}, {"limit", bounds(t.limit)}, {"guarantee", bounds(t.guarantee)}});
-        for (auto& e : book_.history()) history.push_back(quota::to_json(e));
+        for (auto& e : quotas_.history()) history.push_back(quota::to_json(e));
         out["teams"] = std::move(teams);
         out["history"] = std::move(history);
-        out["on"] = services_.settings.rules.quotas.has_value();
+        out["on"] = services_.settings.placement.quotas.has_value();
     }
     return Response{200, std::move(out)};
 }
--- a/src/api/quotas.hpp
+++ b/src/api/quotas.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Quotas between the state service, the leader and operators: how they are read, and who may change them.
-#include "quota/book.hpp"
+#include "quota/versions.hpp"
 #include "state/state_client.hpp"
 
 namespace barrowrun::api {
@@ -13,7 +13,8 @@
 };
 
 // One version whole into `book`: pages are read before the head, and the head once more.
-net::Task<QuotasRead> read_quotas(state::StateClient& state, std::size_t value_bytes, quota::Book& book);
+net::Task<QuotasRead> read_quotas(state::StateClient& state, std::size_t value_bytes,
+                                  quota::VersionedQuotas& book);
 
 // Takes as long whatever they have in common.
 bool same_secret(const std::string& given, const std::string& kept);
--- a/src/api/takeover.cpp
+++ b/src/api/takeover.cpp
@@ -66,7 +66,7 @@
         if (!number || !records) {
             spdlog::error("the record {} cannot be read: nothing is started for a lease", item.key);
             cluster_.note_unreadable_record(number,
-                                            acquired_ + longer(secs(services_.settings.rules.lease_s)));
+                                            acquired_ + longer(secs(services_.settings.placement.lease_s)));
             continue;
         }
         for (auto& record : *records) cluster_.recover_machine(*number, record, acquired_, wall);
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -32,7 +32,7 @@
         boost::asio::io_context io{1};
         barrowrun::api::Node node(io, settings);
         node.start();
-        spdlog::info("{} serves on {}", settings.node, settings.listen);
+        spdlog::info("{} serves on {}", settings.node_name, settings.listen_address);
         io.run();
     } catch (const barrowrun::settings::SettingsError& e) {
         std::fprintf(stderr, "barrowrun: %s: %s\n", reading->c_str(), e.what());
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -305,10 +305,10 @@
     };
     // What a limit keeps from starting needs no machine.
     std::optional<quota::Ledger> planned;
-    if (cluster.ledger().tree().limits()) planned = cluster.ledger();
+    if (cluster.ledger().tree().has_limits()) planned = cluster.ledger();
     auto allowed_of = [&](const Job& job, std::uint32_t n) {
         if (!planned || n == 0) return n;
-        auto k = planned->admitted(job.account, job.spec.need, n);
+        auto k = planned->admissible_tasks(job.account, job.spec.need, n);
         if (job.spec.kind == JobKind::gang && k < n) return 0u;
         for (std::uint32_t i = 0; i < k; ++i) planned->charge(job.account, job.spec.need);
         return k;
--- a/src/config/cells.cpp
+++ b/src/config/cells.cpp
@@ -4,8 +4,8 @@
 
 namespace barrowrun::config {
 
-cells::Settings read_cells(const nlohmann::json& document, const std::set<std::string>& limited) {
-    const auto j = parse_checked(document.dump(), cells_schema);
+cells::Settings parse_cells(const nlohmann::json& document, const std::set<std::string>& limited) {
+    const auto j = parse_validated(document.dump(), cells_schema);
     cells::Settings out;
     out.self = j.at("self");
     std::set<std::string> known{out.self};
--- a/src/config/cells.hpp
+++ b/src/config/cells.hpp
@@ -8,6 +8,6 @@
 namespace barrowrun::config {
 
 // Throws ConfigError. `limited`: teams that have a limit, which no other cell knows to keep.
-cells::Settings read_cells(const nlohmann::json& document, const std::set<std::string>& limited);
+cells::Settings parse_cells(const nlohmann::json& document, const std::set<std::string>& limited);
 
 }  // namespace barrowrun::config
--- a/src/config/quotas.hpp
+++ b/src/config/quotas.hpp
@@ -4,12 +4,12 @@
 #include <string>
 
 #include "config/schema.hpp"
-#include "quota/book.hpp"
+#include "quota/versions.hpp"
 
 namespace barrowrun::config {
 
-// The lines, and `shrink_s` where it is said, as a change of nothing. Throws ConfigError.
-quota::Change read_quotas(const nlohmann::json& document);
-quota::Change read_quotas_text(const std::string& text);
+// The lines, and `over_limit_grace_s` where it is said, as a change of nothing. Throws ConfigError.
+quota::Change parse_quotas(const nlohmann::json& document);
+quota::Change parse_quotas_text(const std::string& text);
 
 }  // namespace barrowrun::config
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -8,7 +8,7 @@
 
 namespace barrowrun::config {
 
-nlohmann::json parse_checked(const std::string& text, const std::string& schema_text) {
+nlohmann::json parse_validated(const std::string& text, const std::string& schema_text) {
     using Json = nlohmann::json;
     Json given = Json::parse(text, nullptr, false);
     if (given.is_discarded()) throw ConfigError("not JSON");
--- a/src/config/schema.hpp
+++ b/src/config/schema.hpp
@@ -12,6 +12,6 @@
 };
 
 // The document if it is JSON and matches the schema; otherwise throws ConfigError.
-nlohmann::json parse_checked(const std::string& text, const std::string& schema);
+nlohmann::json parse_validated(const std::string& text, const std::string& schema);
 
 }  // namespace barrowrun::config
--- a/src/ctl/jobs.cpp
+++ b/src/ctl/jobs.cpp
@@ -19,7 +19,7 @@
     if (!text) throw Usage(file + ": the file cannot be read");
     json j;
     try {
-        j = config::parse_checked(*text, job_schema);
+        j = config::parse_validated(*text, job_schema);
     } catch (const config::ConfigError& e) {
         throw Usage(file + ": " + e.what());
     }
--- a/src/ctl/quota.cpp
+++ b/src/ctl/quota.cpp
@@ -20,10 +20,10 @@
 
 struct Shown {
     std::uint64_t version = 0;
-    double shrink_s = 0;
+    double over_limit_grace_s = 0;
     bool on = false;
     json nodes = json::array(), history = json::array();
-    std::vector<quota::Team> teams;
+    std::vector<quota::TeamQuota> teams;
 };
 
 // An answer that isn't one: what it says, and whether the asker is to blame.
@@ -51,13 +51,13 @@
             auto version = wire::count(b, "version").value_or(0);
             if (since == 1) {
                 out.version = version;
-                out.shrink_s = wire::amount(b, "shrink_s").value_or(0);
+                out.over_limit_grace_s = wire::amount(b, "shrink_s").value_or(0);
                 out.on = wire::flag(b, "on").value_or(false);
                 if (auto* h = wire::find(b, "history")) out.history = *h;
                 if (auto* list = wire::find(b, "teams"))
                     for (auto& t : *list) {
                         // Written as nodes are, so read as one.
-                        auto line = quota::parse_line(t);
+                        auto line = quota::parse_quota_entry(t);
                         if (line) out.teams.push_back({line->name, line->limit, line->guarantee});
                     }
             }
@@ -193,34 +193,34 @@
     auto text = depot::read_all(file);
     if (!text) throw Usage(file + ": the file cannot be read");
     try {
-        return config::read_quotas_text(*text);
+        return config::parse_quotas_text(*text);
     } catch (const config::ConfigError& e) {
         throw Usage(file + ": " + e.what());
     }
 }
 
 // Says all that is wrong. True if nothing is.
-bool check(const std::string& file, const quota::Change& c, const std::vector<quota::Team>& teams) {
-    auto built = quota::Tree::build(c.set, teams);
-    for (auto& f : built.faults) std::fprintf(stderr, "%s: %s\n", file.c_str(), f.str().c_str());
+bool check(const std::string& file, const quota::Change& c, const std::vector<quota::TeamQuota>& teams) {
+    auto built = quota::Tree::build(c.set_entries, teams);
+    for (auto& f : built.errors) std::fprintf(stderr, "%s: %s\n", file.c_str(), f.str().c_str());
     return built.tree != nullptr;
 }
 
 // The file's lines with their parents by path, as changes name them, parents first.
-std::vector<quota::Line> by_path(const std::vector<quota::Line>& lines,
-                                 const std::vector<quota::Team>& teams) {
+std::vector<quota::QuotaEntry> by_path(const std::vector<quota::QuotaEntry>& lines,
+                                       const std::vector<quota::TeamQuota>& teams) {
     auto tree = quota::Tree::build(lines, teams).tree;
-    std::vector<quota::Line> out;
+    std::vector<quota::QuotaEntry> out;
     for (auto& n : tree->nodes()) {
-        if (n.line == quota::no_node) continue;
-        auto l = lines[n.line];
+        if (n.entry_index == quota::no_node) continue;
+        auto l = lines[n.entry_index];
         l.in = tree->node(n.parent).path;
         out.push_back(std::move(l));
     }
     return out;
 }
 
-std::string path_of(const quota::Line& l) {
+std::string path_of(const quota::QuotaEntry& l) {
     return l.in.empty() ? l.name : l.in + "/" + l.name;
 }
 
@@ -230,7 +230,10 @@
     return run_quota(options, [&](client::Client& client) -> Task<int> {
         auto s = co_await fetch(client);
         if (options.json)
-            print({{"version", s.version}, {"shrink_s", s.shrink_s}, {"on", s.on}, {"nodes", s.nodes}});
+            print({{"version", s.version},
+                   {"shrink_s", s.over_limit_grace_s},
+                   {"on", s.on},
+                   {"nodes", s.nodes}});
         else if (call.tree)
             print_tree(s);
         else
@@ -241,14 +244,14 @@
 
 int quota_check(const Options& options, const QuotaCall& call) {
     auto c = read_file(call.file);
-    auto verdict = [&](const std::vector<quota::Team>& teams) {
+    auto verdict = [&](const std::vector<quota::TeamQuota>& teams) {
         if (!check(call.file, c, teams)) return bad_input;
-        std::printf("%s: %zu nodes, nothing wrong\n", call.file.c_str(), c.set.size());
+        std::printf("%s: %zu nodes, nothing wrong\n", call.file.c_str(), c.set_entries.size());
         return good;
     };
     if (!call.settings.empty()) {
         try {
-            return verdict(placement::quota_teams(settings::load_settings(call.settings).rules.teams));
+            return verdict(placement::quota_teams(settings::load_settings(call.settings).placement.teams));
         } catch (const settings::SettingsError& e) {
             throw Usage(call.settings + ": " + e.what());
         }
@@ -266,36 +269,37 @@
         auto s = co_await fetch(client);
         if (!check(call.file, file, s.teams)) co_return bad_input;
         // What differs from what holds now.
-        std::map<std::string, quota::Line> now;
+        std::map<std::string, quota::QuotaEntry> now;
         for (auto& n : s.nodes)
             if (auto* given = wire::find(n, "given"))
-                if (auto l = quota::parse_line(*given)) {
+                if (auto l = quota::parse_quota_entry(*given)) {
                     auto path = wire::text(n, "path").value_or("");
                     l->in =
                         path.size() > l->name.size() ? path.substr(0, path.size() - l->name.size() - 1) : "";
                     now[path] = *l;
                 }
         quota::Change change;
-        for (auto& l : by_path(file.set, s.teams)) {
+        for (auto& l : by_path(file.set_entries, s.teams)) {
             auto it = now.find(path_of(l));
-            if (it == now.end() || !(it->second == l)) change.set.push_back(l);
+            if (it == now.end() || !(it->second == l)) change.set_entries.push_back(l);
             if (it != now.end()) now.erase(it);
         }
         if (call.prune)
-            for (auto it = now.rbegin(); it != now.rend(); ++it) change.drop.push_back(it->first);
+            for (auto it = now.rbegin(); it != now.rend(); ++it) change.removed_paths.push_back(it->first);
         else if (!now.empty())
             std::fprintf(
                 stderr,
                 "barrowctl: %zu nodes that the file doesn't name stay (%s first); --prune drops them\n",
                 now.size(), now.begin()->first.c_str());
-        if (file.shrink_s && *file.shrink_s != s.shrink_s) change.shrink_s = file.shrink_s;
-        if (change.set.empty() && change.drop.empty() && !change.shrink_s) {
+        if (file.over_limit_grace_s && *file.over_limit_grace_s != s.over_limit_grace_s)
+            change.over_limit_grace_s = file.over_limit_grace_s;
+        if (change.set_entries.empty() && change.removed_paths.empty() && !change.over_limit_grace_s) {
             std::printf("version %llu already says so\n", static_cast<unsigned long long>(s.version));
             co_return good;
         }
-        change.base = s.version;
-        change.by = call.by;
-        change.why = call.why;
+        change.base_version = s.version;
+        change.author = call.by;
+        change.reason = call.why;
         std::random_device random;
         change.nonce = std::to_string(static_cast<std::uint64_t>(random()) << 32 | random());
         json body = quota::to_json(change);
@@ -309,7 +313,7 @@
         if (reply.status == 200) {
             std::printf("version %llu: %zu nodes set, %zu dropped\n",
                         static_cast<unsigned long long>(wire::count(reply.body, "version").value_or(0)),
-                        change.set.size(), change.drop.size());
+                        change.set_entries.size(), change.removed_paths.size());
             co_return good;
         }
         if (auto* faults = wire::find(reply.body, "faults")) {
@@ -326,7 +330,7 @@
     return run_quota(options, [&](client::Client& client) -> Task<int> {
         auto s = co_await fetch(client);
         for (auto it = s.history.rbegin(); it != s.history.rend(); ++it) {
-            auto e = quota::parse_entry(*it);
+            auto e = quota::parse_change_summary(*it);
             if (!e) continue;
             if (options.json) {
                 print(*it);
@@ -337,7 +341,8 @@
             std::strftime(when, sizeof when, "%F %T UTC", std::gmtime(&at));
             std::printf("version %llu  %s  %s  %zu set, %zu dropped  %s\n",
                         static_cast<unsigned long long>(e->version), when,
-                        e->by.empty() ? "-" : e->by.c_str(), e->set, e->dropped, e->why.c_str());
+                        e->author.empty() ? "-" : e->author.c_str(), e->set_count, e->removed_count,
+                        e->reason.c_str());
         }
         if (s.history.empty() && !options.json)
             std::puts("never changed: what the nodes' settings say holds");
--- a/src/ctl/site.cpp
+++ b/src/ctl/site.cpp
@@ -32,7 +32,7 @@
         if (!text) throw Usage(file + ": the file cannot be read");
         nlohmann::json j;
         try {
-            j = config::parse_checked(*text, client_schema);
+            j = config::parse_validated(*text, client_schema);
         } catch (const config::ConfigError& e) {
             throw Usage(file + ": " + e.what());
         }
--- a/src/placement/cluster.cpp
+++ b/src/placement/cluster.cpp
@@ -22,9 +22,9 @@
     return placements.empty() && delegated.empty() ? wire::JobState::queued : wire::JobState::running;
 }
 
-std::vector<quota::Team> quota_teams(const std::map<std::string, TeamLimits>& teams) {
+std::vector<quota::TeamQuota> quota_teams(const std::map<std::string, TeamLimits>& teams) {
     auto some = [](double x) { return x > 0 ? std::optional<double>(x) : std::nullopt; };  // 0: none
-    std::vector<quota::Team> out;
+    std::vector<quota::TeamQuota> out;
     for (auto& [name, t] : teams)
         out.push_back({name,
                        {some(t.cpus_max), some(t.gpus_max), std::nullopt},
@@ -35,7 +35,7 @@
 namespace {
 quota::TreePtr first_tree(const Config& config) {
     auto teams = quota_teams(config.teams);
-    if (auto built = quota::Tree::build(config.quotas.value_or(std::vector<quota::Line>{}), teams);
+    if (auto built = quota::Tree::build(config.quotas.value_or(std::vector<quota::QuotaEntry>{}), teams);
         built.tree)
         return built.tree;
     // Settings are checked when they are read. A platform's own team with a guarantee beyond its limit can
--- a/src/placement/cluster.hpp
+++ b/src/placement/cluster.hpp
@@ -33,7 +33,7 @@
 };
 
 // What the platform's file says of its teams, as the quotas' tree has it.
-std::vector<quota::Team> quota_teams(const std::map<std::string, TeamLimits>& teams);
+std::vector<quota::TeamQuota> quota_teams(const std::map<std::string, TeamLimits>& teams);
 
 struct ServiceLevelObjective {
     std::string kind, job_class;
@@ -47,8 +47,8 @@
     std::uint64_t queue_bound = queue::default_bound;
     std::size_t txn_ops = 16, value_bytes = 32 * 1024;
     // The operator's tree of quotas; absent: the platform's teams alone.
-    std::optional<std::vector<quota::Line>> quotas;
-    double shrink_s = 120;  // as in quota::Book, until a change says otherwise
+    std::optional<std::vector<quota::QuotaEntry>> quotas;
+    double over_limit_grace_s = 120;  // as in quota::VersionedQuotas, until a change says otherwise
     double idle_return_s = 12;
     std::uint32_t headroom_min = 3, headroom_max = 16;
 };
@@ -145,8 +145,8 @@
     TimePoint acquired() const { return acquired_; }
 
     // Quotas. `changed`: when a limit was last lowered, perhaps by a predecessor; what runs above it and
-    // doesn't save goes on for `shrink_s`.
-    void set_quotas(quota::TreePtr tree, TimePoint changed, double shrink_s);
+    // doesn't save goes on for `over_limit_grace_s`.
+    void set_quotas(quota::TreePtr tree, TimePoint changed, double over_limit_grace_s);
     const quota::Ledger& ledger() const { return ledger_; }
     // Which classes and teams get less than they should: what is to be said of it now.
     std::vector<StarvationMonitor::Finding> check_starvation(TimePoint now);
@@ -298,7 +298,7 @@
     // Brings nodes down to lowered limits.
     void enforce_lowered_limits(TimePoint now);
     struct RunningWork {
-        std::vector<quota::Unit> units;
+        std::vector<quota::PreemptionCandidate> units;
         std::vector<std::pair<Machine*, Attempt>> tasks;  // of each unit: itself, or one of its gang
     };
     // What runs and could be stopped. `hosts`: whose places are numbered; others aren't looked at.
@@ -343,7 +343,7 @@
     // Charged during a round: room that is being made for work within its guarantee.
     std::vector<std::pair<quota::NodeId, wire::Resources>> promised_;
     TimePoint quotas_changed_{};
-    double shrink_s_ = 120;
+    double over_limit_grace_s_ = 120;
     std::uint64_t fencing_token_ = 0, first_fencing_token_ = 0, attempts_ = 0;
     TimePoint acquired_{}, starts_deferred_until_{};
     CapacityIndex capacity_index_;
--- a/src/placement/quota_enforcement.cpp
+++ b/src/placement/quota_enforcement.cpp
@@ -19,13 +19,13 @@
 }  // namespace
 
 quota::NodeId Cluster::account_of(const wire::JobSpec& spec) const {
-    return ledger_.tree().account(spec.team, spec.project).value_or(quota::root);
+    return ledger_.tree().account_for(spec.team, spec.project).value_or(quota::root);
 }
 
-void Cluster::set_quotas(quota::TreePtr tree, TimePoint changed, double shrink_s) {
+void Cluster::set_quotas(quota::TreePtr tree, TimePoint changed, double over_limit_grace_s) {
     const auto before = ledger_.tree_ptr();
     quotas_changed_ = changed;
-    shrink_s_ = shrink_s;
+    over_limit_grace_s_ = over_limit_grace_s;
     ledger_ = quota::Ledger(std::move(tree));
     for (auto& [id, job] : jobs_) job->account = account_of(job->spec);
     for (auto& [name, m] : machines_)
@@ -37,7 +37,7 @@
                 // Its job is over, its task may still be there: charged where its account went.
                 auto n = e.account;
                 std::optional<quota::NodeId> now;
-                while (n != quota::root && !(now = ledger_.tree().by_path(before->node(n).path)))
+                while (n != quota::root && !(now = ledger_.tree().find_by_path(before->node(n).path)))
                     n = before->node(n).parent;
                 e.account = now.value_or(quota::root);
             }
@@ -70,7 +70,8 @@
             auto it = jobs_.find(a.task.job);
             if (it == jobs_.end()) continue;
             const Job& job = *it->second;
-            quota::Unit u{{{h, e.need}}, e.account, preemption_cost(job, e, now), e.checkpoints};
+            quota::PreemptionCandidate u{
+                {{h, e.need}}, e.account, preemption_cost(job, e, now), e.checkpoints};
             if (job.spec.kind == JobKind::gang && job.spec.tasks > 1) {
                 // Whole or not at all. Its parts on other machines stand at a place after the last.
                 if (!gangs.insert(job.spec.id).second) continue;
@@ -99,7 +100,7 @@
 // what is promised to another.
 bool Cluster::schedule_guaranteed(TimePoint now, std::size_t& placed) {
     bool acted = false;
-    const auto deepest = ledger_.deepest_unused();
+    const auto deepest = ledger_.deepest_unmet_guarantee();
     if (deepest == 0) return acted;
     std::size_t plans = 0;
     std::set<std::string> misfits;
@@ -113,7 +114,7 @@
             if (placed >= max_starts_per_round) return acted;
             const auto& s = job->spec;
             auto covered = [&] {
-                return ledger_.covered_at(depth, job->account, s.need, job->waiting.size());
+                return ledger_.tasks_within_guarantee_at(depth, job->account, s.need, job->waiting.size());
             };
             auto n = covered();
             if (n == 0) continue;
@@ -180,15 +181,15 @@
         // The place of what runs on other machines: nothing fits there.
         rooms.push_back({-quota::no_limit, -quota::no_limit, -quota::no_limit});
         auto there = running_work(hosts, now);
-        auto plan = quota::reclaim(ledger, rooms, there.units, {job.account, s.need, tasks});
-        if (plan.room_on.empty() || (whole && plan.room_on.size() < tasks)) continue;
+        auto plan = quota::plan_guarantee_reclaim(ledger, rooms, there.units, {job.account, s.need, tasks});
+        if (plan.task_hosts.empty() || (whole && plan.task_hosts.size() < tasks)) continue;
         // Nobody else gets it in this round: neither the room nor what the limits leave.
-        for (auto h : plan.room_on) {
+        for (auto h : plan.task_hosts) {
             reserve(*hosts[h], s.need);
             ledger_.charge(job.account, s.need);
             promised_.emplace_back(job.account, s.need);
         }
-        for (auto u : plan.stop) {
+        for (auto u : plan.victims) {
             auto& [m, a] = there.tasks[u];
             Job* other = find_job(a.task.job);
             if (!other) continue;
@@ -197,23 +198,23 @@
             else
                 request_stop(*m, a, m->assignments.at(a), grace_for(*other), now, "borrowed room is claimed");
         }
-        if (!plan.stop.empty())
+        if (!plan.victims.empty())
             spdlog::info(
                 "{} is within its guarantee: {} borrowing tasks or gangs stop, room for {} of its tasks",
-                s.id, plan.stop.size(), plan.room_on.size());
-        return !plan.stop.empty();
+                s.id, plan.victims.size(), plan.task_hosts.size());
+        return !plan.victims.empty();
     }
     return false;
 }
 
 void Cluster::enforce_lowered_limits(TimePoint now) {
     const auto& tree = ledger_.tree();
-    if (!tree.limits() || now < starts_deferred_until_) return;
+    if (!tree.has_limits() || now < starts_deferred_until_) return;
     std::optional<RunningWork> there;
-    const bool patient = now < std::max(quotas_changed_, acquired_) + secs(shrink_s_);
+    const bool patient = now < std::max(quotas_changed_, acquired_) + secs(over_limit_grace_s_);
     // The deepest first: what it gives up its parents need not.
     for (auto n = static_cast<quota::NodeId>(tree.size()); n-- > 1;) {
-        auto over = ledger_.over(n);
+        auto over = ledger_.over_limit(n);
         if (over.cpus <= 0 && over.gpus <= 0 && over.mem_gb <= 0) continue;
         if (!there) {
             std::vector<Machine*> hosts;
@@ -226,7 +227,7 @@
                 if (e.stop_requested && !e.exited() && e.account != quota::no_node &&
                     tree.within(e.account, n))
                     stopping += e.need;
-        std::vector<quota::Unit> units;
+        std::vector<quota::PreemptionCandidate> units;
         std::vector<std::size_t> which;
         for (std::size_t u = 0; u < there->units.size(); ++u) {
             auto& [m, a] = there->tasks[u];
@@ -234,7 +235,7 @@
             units.push_back(there->units[u]);
             which.push_back(u);
         }
-        for (auto u : quota::shrink(ledger_, n, stopping, units, patient)) {
+        for (auto u : quota::plan_limit_reclaim(ledger_, n, stopping, units, patient)) {
             auto& [m, a] = there->tasks[which[u]];
             Job* job = find_job(a.task.job);
             if (!job) continue;
@@ -260,7 +261,7 @@
     const bool gang = s.kind == JobKind::gang;
     wire::Resources all = s.need;
     if (gang) all = {s.need.cpus * s.tasks, s.need.gpus * s.tasks, s.need.mem_gb * s.tasks};
-    if (auto n = ledger_.refusing(job.account, all)) {
+    if (auto n = ledger_.first_exceeded_limit(job.account, all)) {
         const auto& node = tree.node(*n);
         auto used = ledger_.used(*n);
         std::string out = "the limit of " + node.path + ":";
@@ -289,7 +290,7 @@
     if (fit == 0)
         return fmt::format(
             "no room: a task needs {}; of {} machines that it may use the roomiest has {} free",
-            quota::amount_text(s.need), may, quota::amount_text(most));
+            quota::format_resources(s.need), may, quota::format_resources(most));
     std::uint64_t before = 0;
     for (int level = 0; level <= static_cast<int>(s.priority); ++level)
         for (auto& p : queue_.level(level)) {
--- a/src/placement/scheduling.cpp
+++ b/src/placement/scheduling.cpp
@@ -130,7 +130,7 @@
     PreemptionResult out;
     if (!may_preempt(job, now)) return out;
     const bool kept_only = job.spec.priority > Priority::high;
-    const bool guarantees = ledger_.tree().guarantees();
+    const bool guarantees = ledger_.tree().has_guarantees();
     const auto& need = job.spec.need;
     std::vector<preemption::Candidate> options;
     std::vector<Machine*> machines;
@@ -187,8 +187,9 @@
             // What another's guarantee covers goes on, unless this is within one as well: it would only be
             // given its room back.
             if (guarantees && e.account != quota::no_node &&
-                !ledger_.may_yield(e.account, e.need, job.account) &&
-                ledger_.covered(job.account, need, 1, ledger_.tree().common(e.account, job.account)) == 0)
+                !ledger_.may_be_preempted(e.account, e.need, job.account) &&
+                ledger_.tasks_within_guarantee(
+                    job.account, need, 1, ledger_.tree().lowest_common_ancestor(e.account, job.account)) == 0)
                 continue;
             option.victims.push_back(
                 {victims.size(), e.need,
@@ -288,7 +289,7 @@
 bool Cluster::schedule_round(TimePoint now) {
     if (queue_.waiting() == 0 || now < starts_deferred_until_) return false;
     std::size_t placed = 0;
-    bool acted = ledger_.tree().guarantees() && schedule_guaranteed(now, placed);
+    bool acted = ledger_.tree().has_guarantees() && schedule_guaranteed(now, placed);
     acted |= schedule_by_priority(now, placed);
     for (auto& [account, need] : promised_) ledger_.release(account, need);
     promised_.clear();
--- a/src/quota/ledger.cpp
+++ b/src/quota/ledger.cpp
@@ -35,37 +35,38 @@
     }
 }
 
-std::uint32_t Ledger::admitted(NodeId account, const Resources& need, std::uint32_t wanted) const {
-    if (!tree_->limits()) return wanted;
+std::uint32_t Ledger::admissible_tasks(NodeId account, const Resources& need, std::uint32_t wanted) const {
+    if (!tree_->has_limits()) return wanted;
     for (NodeId n = account; n != root && wanted > 0; n = tree_->node(n).parent)
         wanted = fits(need, used_[n], tree_->node(n).limit, wanted);
     return wanted;
 }
 
-std::optional<NodeId> Ledger::refusing(NodeId account, const Resources& need) const {
+std::optional<NodeId> Ledger::first_exceeded_limit(NodeId account, const Resources& need) const {
     for (NodeId n = account; n != root; n = tree_->node(n).parent)
         if (fits(need, used_[n], tree_->node(n).limit, 1) == 0) return n;
     return std::nullopt;
 }
 
-std::uint32_t Ledger::covered(NodeId account, const Resources& need, std::uint32_t wanted, NodeId top) const {
+std::uint32_t Ledger::tasks_within_guarantee(NodeId account, const Resources& need, std::uint32_t wanted,
+                                             NodeId top) const {
     std::uint32_t most = 0;
-    if (!tree_->guarantees()) return 0;
+    if (!tree_->has_guarantees()) return 0;
     for (NodeId n = account; n != root && n != top; n = tree_->node(n).parent)
-        most = std::max(most, covered_by(n, need, wanted));
+        most = std::max(most, tasks_within_guarantee_of(n, need, wanted));
     return most;
 }
 
-std::uint32_t Ledger::covered_at(std::uint32_t depth, NodeId account, const Resources& need,
-                                 std::uint32_t wanted) const {
+std::uint32_t Ledger::tasks_within_guarantee_at(std::uint32_t depth, NodeId account, const Resources& need,
+                                                std::uint32_t wanted) const {
     NodeId n = account;
     while (tree_->node(n).depth > depth) n = tree_->node(n).parent;
-    return tree_->node(n).depth == depth ? covered_by(n, need, wanted) : 0;
+    return tree_->node(n).depth == depth ? tasks_within_guarantee_of(n, need, wanted) : 0;
 }
 
-std::uint32_t Ledger::deepest_unused() const {
+std::uint32_t Ledger::deepest_unmet_guarantee() const {
     std::uint32_t deepest = 0;
-    for (NodeId n : tree_->guaranteed()) {
+    for (NodeId n : tree_->guaranteed_nodes()) {
         const Node& node = tree_->node(n);
         if (node.depth > deepest &&
             (used_[n].cpus < node.guarantee.cpus - eps || used_[n].gpus < node.guarantee.gpus - eps))
@@ -74,19 +75,19 @@
     return deepest;
 }
 
-std::uint32_t Ledger::covered_by(NodeId n, const Resources& need, std::uint32_t wanted) const {
+std::uint32_t Ledger::tasks_within_guarantee_of(NodeId n, const Resources& need, std::uint32_t wanted) const {
     const Node& node = tree_->node(n);
-    if (!node.guaranteed()) return 0;
+    if (!node.has_guarantee()) return 0;
     Resources bound = node.guarantee;
     if (!node.memory_guaranteed) bound.mem_gb = no_limit;
     return fits(need, used_[n], bound, wanted);
 }
 
-bool Ledger::may_yield(NodeId holder, const Resources& need, NodeId to) const {
-    const NodeId shared = tree_->common(holder, to);
+bool Ledger::may_be_preempted(NodeId holder, const Resources& need, NodeId to) const {
+    const NodeId shared = tree_->lowest_common_ancestor(holder, to);
     for (NodeId n = holder; n != shared; n = tree_->node(n).parent) {
         const Node& node = tree_->node(n);
-        if (!node.guaranteed()) continue;
+        if (!node.has_guarantee()) continue;
         bool borrows = false;
         for (auto dim : dimensions) {
             if (dim == &Resources::mem_gb && !node.memory_guaranteed) continue;
@@ -97,7 +98,7 @@
     return true;
 }
 
-Resources Ledger::over(NodeId n) const {
+Resources Ledger::over_limit(NodeId n) const {
     Resources out;
     for (auto dim : dimensions) {
         const double by = used_[n].*dim - tree_->node(n).limit.*dim;
--- a/src/quota/ledger.hpp
+++ b/src/quota/ledger.hpp
@@ -17,29 +17,29 @@
     void release(NodeId account, const Resources& need);
 
     // How many of `wanted` tasks more no level refuses.
-    std::uint32_t admitted(NodeId account, const Resources& need, std::uint32_t wanted) const;
+    std::uint32_t admissible_tasks(NodeId account, const Resources& need, std::uint32_t wanted) const;
     bool admits(NodeId account, const Resources& need, std::uint32_t tasks) const {
-        return admitted(account, need, tasks) == tasks;
+        return admissible_tasks(account, need, tasks) == tasks;
     }
     // The level nearest to the account that refuses one task more.
-    std::optional<NodeId> refusing(NodeId account, const Resources& need) const;
+    std::optional<NodeId> first_exceeded_limit(NodeId account, const Resources& need) const;
     // How many of `wanted` tasks more fit within the guarantee of some level from the account up to `top` (it
     // itself not), whatever limits say: others may have filled a limit that they share with it.
-    std::uint32_t covered(NodeId account, const Resources& need, std::uint32_t wanted,
-                          NodeId top = root) const;
+    std::uint32_t tasks_within_guarantee(NodeId account, const Resources& need, std::uint32_t wanted,
+                                         NodeId top = root) const;
     // The same for the level of one depth alone.
-    std::uint32_t covered_at(std::uint32_t depth, NodeId account, const Resources& need,
-                             std::uint32_t wanted) const;
+    std::uint32_t tasks_within_guarantee_at(std::uint32_t depth, NodeId account, const Resources& need,
+                                            std::uint32_t wanted) const;
     // The depth of the deepest level that has some of its guarantee unused; 0: none has.
-    std::uint32_t deepest_unused() const;
+    std::uint32_t deepest_unmet_guarantee() const;
     // Whether a held task may be stopped for the sake of `to`: at every level that the two don't share its
     // holder keeps its guarantee without it. What is borrowed may yield; what is guaranteed may not.
-    bool may_yield(NodeId holder, const Resources& need, NodeId to) const;
+    bool may_be_preempted(NodeId holder, const Resources& need, NodeId to) const;
     // By how much a node is over its limit, per amount; zeros: it isn't.
-    Resources over(NodeId n) const;
+    Resources over_limit(NodeId n) const;
 
   private:
-    std::uint32_t covered_by(NodeId n, const Resources& need, std::uint32_t wanted) const;
+    std::uint32_t tasks_within_guarantee_of(NodeId n, const Resources& need, std::uint32_t wanted) const;
     TreePtr tree_;
     std::vector<Resources> used_;
     std::vector<std::uint64_t> tasks_;
--- a/src/quota/reclaim.cpp
+++ b/src/quota/reclaim.cpp
@@ -17,8 +17,8 @@
 // One plan in the making. The ledger is what it will be once those chosen are gone and the tasks are placed.
 class Planner {
   public:
-    Planner(const Ledger& ledger, const std::vector<Resources>& rooms, const std::vector<Unit>& units,
-            const Want& want)
+    Planner(const Ledger& ledger, const std::vector<Resources>& rooms,
+            const std::vector<PreemptionCandidate>& units, const ReclaimRequest& want)
         : before_(ledger),
           before_rooms_(rooms),
           units_(units),
@@ -29,7 +29,7 @@
         nearness_.resize(units.size());
         shared_.resize(units.size());
         for (std::size_t u = 0; u < units.size(); ++u) {
-            shared_[u] = tree.common(units[u].account, want.account);
+            shared_[u] = tree.lowest_common_ancestor(units[u].account, want.account);
             nearness_[u] = tree.node(shared_[u]).depth;
             for (auto& p : units[u].parts)
                 if (on_[p.host].empty() || on_[p.host].back() != u) on_[p.host].push_back(u);
@@ -46,7 +46,7 @@
     // least.
     enum Way { singly, shared, in_bulk };
     // `banned`: units that go on in any case.
-    Yield make(Way way, const std::vector<std::size_t>& banned = {}) {
+    ReclaimPlan make(Way way, const std::vector<std::size_t>& banned = {}) {
         ledger_ = before_;
         rooms_ = before_rooms_;
         gone_.assign(units_.size(), 0);
@@ -68,13 +68,13 @@
 
     // Every choice of units, as far as a bound of steps reaches, for what makes the same room at less loss.
     // Only among equally near relatives: else a nearer one would be spared for a stranger.
-    void search_all(Yield& best) {
+    void search_all(ReclaimPlan& best) {
         if (classes_.size() > 1) return;
         ledger_ = before_;
         rooms_ = before_rooms_;
         gone_.assign(units_.size(), 0);
-        const auto tasks = static_cast<std::uint32_t>(best.room_on.size());
-        if (ledger_.admitted(want_.account, want_.need, tasks) < tasks) return;
+        const auto tasks = static_cast<std::uint32_t>(best.task_hosts.size());
+        if (ledger_.admissible_tasks(want_.account, want_.need, tasks) < tasks) return;
         std::vector<std::size_t> order(units_.size()), chosen;
         for (std::size_t u = 0; u < order.size(); ++u) order[u] = u;
         std::sort(order.begin(), order.end(), [&](auto x, auto y) { return before(x, y); });
@@ -90,16 +90,16 @@
         return n;
     }
     void descend(const std::vector<std::size_t>& order, std::size_t at, double loss, std::uint32_t tasks,
-                 std::vector<std::size_t>& chosen, Yield& best, int& steps) {
+                 std::vector<std::size_t>& chosen, ReclaimPlan& best, int& steps) {
         if (--steps < 0 || loss >= best.loss - 1e-9) return;
         std::uint32_t n = 0;
         for (std::uint32_t h = 0; h < rooms_.size() && n < tasks; ++h) n += room_for(rooms_[h], tasks - n);
         if (n == tasks) {
             best = {chosen, {}, loss};
             for (std::uint32_t h = 0; h < rooms_.size(); ++h)
-                best.room_on.insert(
-                    best.room_on.end(),
-                    room_for(rooms_[h], tasks - static_cast<std::uint32_t>(best.room_on.size())), h);
+                best.task_hosts.insert(
+                    best.task_hosts.end(),
+                    room_for(rooms_[h], tasks - static_cast<std::uint32_t>(best.task_hosts.size())), h);
             return;
         }
         if (at == order.size()) return;
@@ -118,12 +118,13 @@
         return std::tuple(~nearness_[x], units_[x].loss, x) < std::tuple(~nearness_[y], units_[y].loss, y);
     }
     bool wants_more() const {
-        return out_.room_on.size() < want_.tasks && ledger_.covered(want_.account, want_.need, 1) > 0;
+        return out_.task_hosts.size() < want_.tasks &&
+               ledger_.tasks_within_guarantee(want_.account, want_.need, 1) > 0;
     }
     void placed(std::uint32_t host) {
         rooms_[host] -= want_.need;
         ledger_.charge(want_.account, want_.need);
-        out_.room_on.push_back(host);
+        out_.task_hosts.push_back(host);
         priced_.assign(priced_.size(), 0);
     }
     // Room that is there, or that a gang's other parts have left, costs nothing.
@@ -136,8 +137,8 @@
     bool take(std::size_t u) {
         // Only for a level that is below its guarantee and that the holder isn't in: work of one node doesn't
         // make way for other work of the same.
-        if (ledger_.covered(want_.account, want_.need, 1, shared_[u]) == 0) return false;
-        if (!ledger_.may_yield(units_[u].account, units_[u].need(), want_.account)) return false;
+        if (ledger_.tasks_within_guarantee(want_.account, want_.need, 1, shared_[u]) == 0) return false;
+        if (!ledger_.may_be_preempted(units_[u].account, units_[u].need(), want_.account)) return false;
         for (auto& p : units_[u].parts) ledger_.release(units_[u].account, p.need);
         return true;
     }
@@ -155,7 +156,7 @@
     void stopped(const std::vector<std::size_t>& chosen) {
         for (auto u : chosen) {
             gone_[u] = 1;
-            out_.stop.push_back(u);
+            out_.victims.push_back(u);
             out_.loss += units_[u].loss;
             for (auto& p : units_[u].parts) rooms_[p.host] += p.need;
         }
@@ -235,7 +236,7 @@
     // What was chosen is in the ledger then.
     std::optional<std::vector<std::size_t>> make_admitted() {
         std::vector<std::size_t> chosen;
-        while (auto full = ledger_.refusing(want_.account, want_.need)) {
+        while (auto full = ledger_.first_exceeded_limit(want_.account, want_.need)) {
             std::optional<std::size_t> best;
             for (std::size_t u = 0; u < units_.size(); ++u) {
                 if (gone_[u] || nearness_[u] < nearest_ || !ledger_.tree().within(units_[u].account, *full) ||
@@ -265,7 +266,7 @@
         auto undo = [&] {
             for (auto u : *limited) {
                 gone_[u] = 0;
-                out_.stop.pop_back();
+                out_.victims.pop_back();
                 out_.loss -= units_[u].loss;
                 give_back(u);
                 for (auto& p : units_[u].parts) rooms_[p.host] -= p.need;
@@ -295,9 +296,9 @@
 
     // The cheapest division of the tasks among hosts, each host's price for so many tasks taken by itself.
     void share() {
-        const auto tasks = std::min(want_.tasks - static_cast<std::uint32_t>(out_.room_on.size()),
-                                    ledger_.covered(want_.account, want_.need, want_.tasks));
-        if (tasks < 2 || ledger_.admitted(want_.account, want_.need, tasks) < tasks) return;
+        const auto tasks = std::min(want_.tasks - static_cast<std::uint32_t>(out_.task_hosts.size()),
+                                    ledger_.tasks_within_guarantee(want_.account, want_.need, want_.tasks));
+        if (tasks < 2 || ledger_.admissible_tasks(want_.account, want_.need, tasks) < tasks) return;
         std::vector<std::vector<Chosen>> prices(rooms_.size());  // of one task, two, ...
         constexpr double never = std::numeric_limits<double>::infinity();
         std::vector<double> least(tasks + 1, never);
@@ -334,9 +335,9 @@
 
     // The host and number of tasks that cost least for each.
     bool bulk() {
-        const auto tasks = std::min(want_.tasks - static_cast<std::uint32_t>(out_.room_on.size()),
-                                    ledger_.covered(want_.account, want_.need, want_.tasks));
-        if (tasks == 0 || ledger_.admitted(want_.account, want_.need, tasks) < tasks) return false;
+        const auto tasks = std::min(want_.tasks - static_cast<std::uint32_t>(out_.task_hosts.size()),
+                                    ledger_.tasks_within_guarantee(want_.account, want_.need, want_.tasks));
+        if (tasks == 0 || ledger_.admissible_tasks(want_.account, want_.need, tasks) < tasks) return false;
         Chosen best;
         std::uint32_t host = 0, count = 0;
         double each = 0;
@@ -359,8 +360,8 @@
 
     const Ledger& before_;
     const std::vector<Resources>& before_rooms_;
-    const std::vector<Unit>& units_;
-    const Want& want_;
+    const std::vector<PreemptionCandidate>& units_;
+    const ReclaimRequest& want_;
     std::vector<std::vector<std::size_t>> on_;  // units by host, nearest relatives first, then by loss
     std::vector<std::uint32_t> nearness_, classes_;
     std::vector<NodeId> shared_;
@@ -370,34 +371,35 @@
     std::uint32_t nearest_ = 0;
     std::vector<Chosen> price_;  // of one task more, by host
     std::vector<char> priced_;
-    Yield out_;
+    ReclaimPlan out_;
 };
 
 }  // namespace
 
-Resources Unit::need() const {
+Resources PreemptionCandidate::need() const {
     Resources r;
     for (auto& p : parts) r += p.need;
     return r;
 }
 
-Yield reclaim(const Ledger& ledger, const std::vector<Resources>& rooms, const std::vector<Unit>& units,
-              const Want& want) {
+ReclaimPlan plan_guarantee_reclaim(const Ledger& ledger, const std::vector<Resources>& rooms,
+                                   const std::vector<PreemptionCandidate>& units,
+                                   const ReclaimRequest& want) {
     Planner planner(ledger, rooms, units, want);
-    auto better = [](const Yield& x, const Yield& y) {
-        return x.room_on.size() != y.room_on.size() ? x.room_on.size() > y.room_on.size()
-                                                    : x.loss < y.loss - 1e-9;
+    auto better = [](const ReclaimPlan& x, const ReclaimPlan& y) {
+        return x.task_hosts.size() != y.task_hosts.size() ? x.task_hosts.size() > y.task_hosts.size()
+                                                          : x.loss < y.loss - 1e-9;
     };
     constexpr Planner::Way ways[] = {Planner::shared, Planner::singly, Planner::in_bulk};
     auto best = planner.make(ways[0]);
-    if (best.stop.empty()) return best;
+    if (best.victims.empty()) return best;
     for (auto way : {ways[1], ways[2]})
         if (auto other = planner.make(way); better(other, best)) best = std::move(other);
     // Few as they are: once more without each that stops, as long as that helps.
     std::vector<std::size_t> banned;
     for (bool again = units.size() <= refined; again;) {
         again = false;
-        for (auto u : std::vector<std::size_t>(best.stop)) {
+        for (auto u : std::vector<std::size_t>(best.victims)) {
             auto without = banned;
             without.push_back(u);
             bool helped = false;
@@ -413,9 +415,10 @@
     return best;
 }
 
-std::vector<std::size_t> shrink(const Ledger& ledger, NodeId node, const Resources& stopping,
-                                const std::vector<Unit>& units, bool keeping_only) {
-    Resources excess = ledger.over(node);
+std::vector<std::size_t> plan_limit_reclaim(const Ledger& ledger, NodeId node, const Resources& stopping,
+                                            const std::vector<PreemptionCandidate>& units,
+                                            bool checkpointing_only) {
+    Resources excess = ledger.over_limit(node);
     for (auto dim : dimensions) excess.*dim = std::max(0.0, excess.*dim - stopping.*dim);
     auto met = [&](const Resources& r) {
         return std::all_of(std::begin(dimensions), std::end(dimensions),
@@ -423,10 +426,11 @@
     };
     std::vector<std::size_t> order, out;
     for (std::size_t u = 0; u < units.size(); ++u)
-        if (ledger.tree().within(units[u].account, node) && (units[u].keeps || !keeping_only))
+        if (ledger.tree().within(units[u].account, node) && (units[u].checkpoints || !checkpointing_only))
             order.push_back(u);
     std::stable_sort(order.begin(), order.end(), [&](auto x, auto y) {
-        return std::tuple(!units[x].keeps, units[x].loss) < std::tuple(!units[y].keeps, units[y].loss);
+        return std::tuple(!units[x].checkpoints, units[x].loss) <
+               std::tuple(!units[y].checkpoints, units[y].loss);
     });
     auto helps = [&](std::size_t u) {
         auto need = units[u].need();
--- a/src/quota/reclaim.hpp
+++ b/src/quota/reclaim.hpp
@@ -6,39 +6,41 @@
 namespace barrowrun::quota {
 
 // A task that may be stopped, or a gang.
-struct Unit {
+struct PreemptionCandidate {
     struct Part {
         std::uint32_t host;
         Resources need;
     };
     std::vector<Part> parts;
     NodeId account = root;
-    double loss = 0;     // what stopping it costs, in CPU seconds or any one measure
-    bool keeps = false;  // it saves what it has done
+    double loss = 0;           // what stopping it costs, in CPU seconds or any one measure
+    bool checkpoints = false;  // it saves what it has done
     Resources need() const;
 };
 
-struct Want {
+struct ReclaimRequest {
     NodeId account = root;
     Resources need;  // of one task
     std::uint32_t tasks = 0;
 };
 
-struct Yield {
-    std::vector<std::size_t> stop;       // units
-    std::vector<std::uint32_t> room_on;  // a host for each task that will find room
+struct ReclaimPlan {
+    std::vector<std::size_t> victims;       // units
+    std::vector<std::uint32_t> task_hosts;  // a host for each task that will find room
     double loss = 0;
 };
 
 // Room for as many tasks of a node below its guarantee as it is entitled to, on hosts with the rooms given.
 // Nearest relatives yield first, then the least loss. Only what is borrowed yields, and no more than is
 // needed.
-Yield reclaim(const Ledger& ledger, const std::vector<Resources>& rooms, const std::vector<Unit>& units,
-              const Want& want);
+ReclaimPlan plan_guarantee_reclaim(const Ledger& ledger, const std::vector<Resources>& rooms,
+                                   const std::vector<PreemptionCandidate>& units, const ReclaimRequest& want);
 
 // What brings `node` down to its limit: units within it that aren't being stopped yet, those that save first,
-// then the least loss. `stopping`: what those that are will free. `keeping_only`: others are let run for now.
-std::vector<std::size_t> shrink(const Ledger& ledger, NodeId node, const Resources& stopping,
-                                const std::vector<Unit>& units, bool keeping_only);
+// then the least loss. `stopping`: what those that are will free. `checkpointing_only`: others are let run
+// for now.
+std::vector<std::size_t> plan_limit_reclaim(const Ledger& ledger, NodeId node, const Resources& stopping,
+                                            const std::vector<PreemptionCandidate>& units,
+                                            bool checkpointing_only);
 
 }  // namespace barrowrun::quota
--- a/src/quota/tree.cpp
+++ b/src/quota/tree.cpp
@@ -13,7 +13,7 @@
 constexpr double most = 1e9;  // of any amount
 
 bool good_name(const std::string& s) {
-    return !s.empty() && s.size() <= max_name && std::all_of(s.begin(), s.end(), [](unsigned char c) {
+    return !s.empty() && s.size() <= max_name_length && std::all_of(s.begin(), s.end(), [](unsigned char c) {
         return std::isalnum(c) || c == '-' || c == '_' || c == '.';
     });
 }
@@ -21,8 +21,9 @@
 // For messages: whatever bytes came in, one line of text.
 std::string shown(const std::string& s) {
     std::string out;
-    for (unsigned char c : s.substr(0, max_name)) out += c >= 0x20 && c < 0x7f ? static_cast<char>(c) : '?';
-    return s.size() > max_name ? out + "..." : out;
+    for (unsigned char c : s.substr(0, max_name_length))
+        out += c >= 0x20 && c < 0x7f ? static_cast<char>(c) : '?';
+    return s.size() > max_name_length ? out + "..." : out;
 }
 
 std::string number(double x) {
@@ -31,7 +32,7 @@
 
 }  // namespace
 
-std::string amount_text(const Resources& r) {
+std::string format_resources(const Resources& r) {
     std::string out;
     auto add = [&](double x, const char* one, const char* many) {
         if (x == 0) return;
@@ -43,10 +44,11 @@
     return out.empty() ? "nothing" : out;
 }
 
-Built Tree::build(std::vector<Line> lines, const std::vector<Team>& teams, std::uint64_t version) {
-    Built out;
+BuildResult Tree::build(std::vector<QuotaEntry> lines, const std::vector<TeamQuota>& teams,
+                        std::uint64_t version) {
+    BuildResult out;
     auto fault = [&](const std::string& path, std::string what) {
-        out.faults.push_back({path.empty() ? "the tree" : path, std::move(what)});
+        out.errors.push_back({path.empty() ? "the tree" : path, std::move(what)});
     };
     if (lines.size() > max_nodes) {
         fault("", fmt::format("{} nodes: expected at most {}", lines.size(), max_nodes));
@@ -55,8 +57,8 @@
     // The operator's lines as they are; teams that none of them names come after, at the top.
     auto tree = std::make_shared<Tree>();
     tree->version_ = version;
-    tree->lines_ = lines;
-    std::unordered_map<std::string, const Team*> known;
+    tree->entries_ = lines;
+    std::unordered_map<std::string, const TeamQuota*> known;
     for (auto& t : teams) known[t.name] = &t;
     std::unordered_map<std::string, std::size_t> team_line;
     const auto given = lines.size();
@@ -85,8 +87,9 @@
         auto& l = lines[i];
         // Names of teams are the platform's affair.
         if (i < given && l.team.empty() && !good_name(l.name)) {
-            fault(l.name.empty() ? fmt::format("node {}", i + 1) : shown(l.name),
-                  fmt::format("expected a name of 1 to {} letters, digits, '.', '-' or '_'", max_name));
+            fault(
+                l.name.empty() ? fmt::format("node {}", i + 1) : shown(l.name),
+                fmt::format("expected a name of 1 to {} letters, digits, '.', '-' or '_'", max_name_length));
             lost[i] = 1;
             continue;
         }
@@ -172,7 +175,7 @@
         Node n;
         n.name = l.name;
         n.team = l.team;
-        if (i < given) n.line = static_cast<std::uint32_t>(i);
+        if (i < given) n.entry_index = static_cast<std::uint32_t>(i);
         n.parent = parent[i] ? id_of[*parent[i]] : root;
         const Node up = tree->nodes_[n.parent];
         n.path = up.path.empty() ? l.name : up.path + "/" + l.name;
@@ -233,8 +236,8 @@
             below[n.parent].*dim += n.guarantee.*dim;
         }
         id_of[i] = id;
-        tree->limits_ |= n.bounded();
-        if (n.guaranteed()) {
+        tree->limits_ |= n.has_limit();
+        if (n.has_guarantee()) {
             tree->guarantees_ = std::max(tree->guarantees_, n.depth);
             tree->guaranteed_.push_back(id);
         }
@@ -249,34 +252,34 @@
                       fmt::format("guarantee.{}: its children's add up to {}, its own is {}",
                                   dimension_names[d], number(sum), number(own)));
         }
-    if (out.faults.empty()) out.tree = std::move(tree);
+    if (out.errors.empty()) out.tree = std::move(tree);
     return out;
 }
 
-std::optional<NodeId> Tree::by_path(const std::string& path) const {
+std::optional<NodeId> Tree::find_by_path(const std::string& path) const {
     auto it = by_path_.find(path);
     if (it == by_path_.end()) return std::nullopt;
     return it->second;
 }
 
-std::optional<NodeId> Tree::project(const std::string& team, const std::string& project) const {
+std::optional<NodeId> Tree::find_project(const std::string& team, const std::string& project) const {
     auto it = by_team_.find(team);
     if (it == by_team_.end()) return std::nullopt;
     if (project.empty()) return it->second;
-    return by_path(nodes_[it->second].path + "/" + project);
+    return find_by_path(nodes_[it->second].path + "/" + project);
 }
 
-std::optional<NodeId> Tree::account(const std::string& team, const std::string& wanted) const {
+std::optional<NodeId> Tree::account_for(const std::string& team, const std::string& wanted) const {
     std::string path = wanted;
     for (;;) {
-        if (auto n = project(team, path)) return n;
+        if (auto n = find_project(team, path)) return n;
         if (path.empty()) return std::nullopt;
         auto slash = path.rfind('/');
         path.resize(slash == std::string::npos ? 0 : slash);
     }
 }
 
-NodeId Tree::common(NodeId a, NodeId b) const {
+NodeId Tree::lowest_common_ancestor(NodeId a, NodeId b) const {
     while (nodes_[a].depth > nodes_[b].depth) a = nodes_[a].parent;
     while (nodes_[b].depth > nodes_[a].depth) b = nodes_[b].parent;
     while (a != b) a = nodes_[a].parent, b = nodes_[b].parent;
--- a/src/quota/book.hpp
+++ b/src/quota/versions.hpp
@@ -14,77 +14,79 @@
 namespace barrowrun::quota {
 
 inline constexpr const char* head_key = "quota/head";
-inline constexpr const char* key_prefix = "quota/";
+inline constexpr const char* record_prefix = "quota/";
 
-struct Entry {
+struct ChangeSummary {
     std::uint64_t version = 0;
     std::int64_t at_ms = 0;  // time of day
-    std::string by, why, nonce;
-    std::size_t set = 0, dropped = 0;  // nodes
+    std::string author, reason, nonce;
+    std::size_t set_count = 0, removed_count = 0;  // nodes
 };
 
 // What an operator asks for. `base`: the version that it was made from; another has changed it since: a
 // conflict.
 struct Change {
-    std::uint64_t base = 0;
-    std::vector<Line> set;          // by path: `in` and name; new ones are added
-    std::vector<std::string> drop;  // paths
-    std::optional<double> shrink_s;
-    std::string by, why;
+    std::uint64_t base_version = 0;
+    std::vector<QuotaEntry> set_entries;     // by path: `in` and name; new ones are added
+    std::vector<std::string> removed_paths;  // paths
+    std::optional<double> over_limit_grace_s;
+    std::string author, reason;
     std::string nonce;  // the same in a repeated request, which then is made once
 };
 
-Json to_json(const Line& l);
-std::optional<Line> parse_line(const Json& value);
+Json to_json(const QuotaEntry& l);
+std::optional<QuotaEntry> parse_quota_entry(const Json& value);
 Json to_json(const Change& c);
 // Or what is wrong with it in one line.
 std::variant<Change, std::string> parse_change(const Json& body);
-Json to_json(const Entry& e);
-std::optional<Entry> parse_entry(const Json& value);
+Json to_json(const ChangeSummary& e);
+std::optional<ChangeSummary> parse_change_summary(const Json& value);
 
-class Book {
+class VersionedQuotas {
   public:
     // Version 0: the operator's file, or nothing but the platform's teams.
-    explicit Book(std::vector<Line> lines = {}, std::size_t value_bytes = 16 * 1024, double shrink_s = 120);
+    explicit VersionedQuotas(std::vector<QuotaEntry> lines = {}, std::size_t value_bytes = 16 * 1024,
+                             double over_limit_grace_s = 120);
     // From the records under `quota/`. Nothing: they can't be read, and why.
-    static std::variant<Book, std::string> read(const std::map<std::string, Json>& records,
-                                                std::size_t value_bytes);
+    static std::variant<VersionedQuotas, std::string> from_records(const std::map<std::string, Json>& records,
+                                                                   std::size_t value_bytes);
 
-    struct Written {
+    struct RecordWrite {
         std::string key;
         Json value;
     };
     // The book after the change, and what is to be written for it; or faults.
-    struct Next;
-    std::variant<Next, std::vector<Fault>> next(const Change& change, const std::vector<Team>& teams,
-                                                std::int64_t wall_ms) const;
+    struct NextVersion;
+    std::variant<NextVersion, std::vector<ValidationError>> with_change(const Change& change,
+                                                                        const std::vector<TeamQuota>& teams,
+                                                                        std::int64_t wall_ms) const;
 
     std::uint64_t version() const { return version_; }
     std::int64_t changed_ms() const { return changed_ms_; }
     // How long what doesn't save may go on where a limit was lowered below what is in use, seconds.
-    double shrink_s() const { return shrink_s_; }
-    std::vector<Line> lines() const;
-    const std::vector<Entry>& history() const { return history_; }
+    double over_limit_grace_s() const { return over_limit_grace_s_; }
+    std::vector<QuotaEntry> entries() const;
+    const std::vector<ChangeSummary>& history() const { return history_; }
 
   private:
     struct Page {
         char slot = 'b';  // in use; a page that was never written goes to `a` first
-        std::vector<Line> lines;
+        std::vector<QuotaEntry> entries;
     };
     Json head() const;
     static std::string page_key(std::size_t page, char slot);
     std::uint64_t version_ = 0;
     std::int64_t changed_ms_ = 0;
-    double shrink_s_ = 120;
+    double over_limit_grace_s_ = 120;
     std::vector<Page> pages_;
-    std::vector<Entry> history_;  // the last few, oldest first
+    std::vector<ChangeSummary> history_;  // the last few, oldest first
     std::size_t page_bytes_;
 };
 
-struct Book::Next {
-    Book book;
+struct VersionedQuotas::NextVersion {
+    VersionedQuotas book;
     TreePtr tree;
-    std::vector<Written> writes;  // pages, then the head: in one transaction
+    std::vector<RecordWrite> writes;  // pages, then the head: in one transaction
 };
 
 }  // namespace barrowrun::quota
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -57,10 +57,10 @@
     if (root.is_discarded()) throw SettingsError("the settings are not JSON");
     if (!root.is_object()) throw SettingsError("the settings are not a JSON object");
     Settings s;
-    s.node = text(root, "", "node_name");
+    s.node_name = text(root, "", "node_name");
     s.zone = wire::text(root, "area").value_or("");
-    s.listen = address(root, "", "serve_on");
-    s.peer_listen = address(root, "", "internal_addr");
+    s.listen_address = address(root, "", "serve_on");
+    s.peer_listen_address = address(root, "", "internal_addr");
     const Json& members = member(root, "", "members");
     if (!members.is_array()) throw SettingsError("field must be a list: members");
     for (std::size_t i = 0; i < members.size(); ++i) {
@@ -70,41 +70,41 @@
         s.members.push_back({text(members[i], path, "node_name"), address(members[i], path, "addr")});
     }
     const Json& external = object(root, "", "external");
-    s.cloud = address(external, "external.", "cloud");
-    s.state = address(external, "external.", "state");
+    s.cloud_address = address(external, "external.", "cloud");
+    s.state_service_address = address(external, "external.", "state");
     const Json& d = object(root, "", "deployment");
     const Json& teams = member(d, "deployment.", "teams");
     if (!teams.is_array()) throw SettingsError("field must be a list: deployment.teams");
     for (std::size_t i = 0; i < teams.size(); ++i) {
         std::string path = "deployment.teams[" + std::to_string(i) + "].";
         auto name = text(teams[i], path, "name");
-        s.rules.teams[name] = {not_negative(teams[i], path, "cpus"), not_negative(teams[i], path, "gpus"),
-                               not_negative(teams[i], path, "cpus_max"),
-                               not_negative(teams[i], path, "gpus_max")};
+        s.placement.teams[name] = {not_negative(teams[i], path, "cpus"), not_negative(teams[i], path, "gpus"),
+                                   not_negative(teams[i], path, "cpus_max"),
+                                   not_negative(teams[i], path, "gpus_max")};
     }
     if (const Json* list = wire::find(d, "objectives"); list && list->is_array())
         for (const Json& o : *list)
-            s.rules.objectives.push_back(
+            s.placement.objectives.push_back(
                 {wire::text(o, "kind").value_or(""), wire::text(o, "class").value_or(""),
                  wire::amount(o, "within_s").value_or(0), wire::amount(o, "times").value_or(1)});
     const Json& w = object(d, "deployment.", "workers");
-    s.rules.heartbeat_s = positive(w, "deployment.workers.", "report_s");
-    s.rules.lease_s = positive(w, "deployment.workers.", "lease_s");
-    s.rules.gang_wait_s = positive(w, "deployment.workers.", "gang_wait_s");
-    s.rules.gang_peer_s = positive(w, "deployment.workers.", "gang_peer_s");
-    s.rules.cancel_s = positive(w, "deployment.workers.", "cancel_s");
+    s.placement.heartbeat_s = positive(w, "deployment.workers.", "report_s");
+    s.placement.lease_s = positive(w, "deployment.workers.", "lease_s");
+    s.placement.gang_wait_s = positive(w, "deployment.workers.", "gang_wait_s");
+    s.placement.gang_peer_s = positive(w, "deployment.workers.", "gang_peer_s");
+    s.placement.cancel_s = positive(w, "deployment.workers.", "cancel_s");
     const Json& st = object(d, "deployment.", "state");
-    s.state_rps = positive(st, "deployment.state.", "rps");
-    s.state_write_rps = positive(st, "deployment.state.", "write_rps");
-    s.rules.value_bytes = static_cast<std::size_t>(positive(st, "deployment.state.", "value_kb") * 1024);
-    s.rules.txn_ops = static_cast<std::size_t>(positive(st, "deployment.state.", "txn_ops"));
+    s.state_requests_per_s = positive(st, "deployment.state.", "rps");
+    s.state_writes_per_s = positive(st, "deployment.state.", "write_rps");
+    s.placement.value_bytes = static_cast<std::size_t>(positive(st, "deployment.state.", "value_kb") * 1024);
+    s.placement.txn_ops = static_cast<std::size_t>(positive(st, "deployment.state.", "txn_ops"));
     const Json& c = object(d, "deployment.", "cloud");
-    s.cloud_rps = positive(c, "deployment.cloud.", "rps");
+    s.cloud_requests_per_s = positive(c, "deployment.cloud.", "rps");
     s.list_lag_s = not_negative(c, "deployment.cloud.", "list_lag_s");
     const Json& q = object(d, "deployment.", "quota");
     s.max_connections = positive(q, "deployment.quota.", "max_sockets");
     if (wire::find(d, "clock_error_ms"))
-        s.clock_error = std::chrono::milliseconds(
+        s.max_clock_error = std::chrono::milliseconds(
             static_cast<std::int64_t>(std::ceil(not_negative(d, "deployment.", "clock_error_ms"))));
     return s;
 }
@@ -122,7 +122,8 @@
 }
 
 Clock::duration Settings::lease_renewal_period() const {
-    return renews_leases ? leases::renewal_period(rules.lease_s, rules.cancel_s) : Clock::duration::zero();
+    return renews_leases ? leases::renewal_period(placement.lease_s, placement.cancel_s)
+                         : Clock::duration::zero();
 }
 
 std::set<std::string> Settings::member_names() const {
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -21,16 +21,16 @@
 };
 
 struct Settings {
-    std::string node, zone, listen, peer_listen, cloud, state;
+    std::string node_name, zone, listen_address, peer_listen_address, cloud_address, state_service_address;
     std::vector<Member> members;
     placement::Config rules;
-    double state_rps = 100, state_write_rps = 50, cloud_rps = 2, list_lag_s = 5;
+    double state_requests_per_s = 100, state_writes_per_s = 50, cloud_requests_per_s = 2, list_lag_s = 5;
     double max_connections = 500;
     // Who changes quotas while running must know it; empty: nobody may.
     std::string operator_key;
     std::chrono::milliseconds leader_lease{3000}, lease_vote{2500};
     // How far a machine's time of day may be off.
-    std::chrono::milliseconds clock_error{1000};
+    std::chrono::milliseconds max_clock_error{1000};
     // Whether a node that is cut off together with workers keeps their leases for a while (src/leases).
     bool renews_leases = true;
     // Other cells, and whose work may go where; absent: there are none.
--- a/src/worker/agent.cpp
+++ b/src/worker/agent.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 WorkerSettings parse_worker_settings(const std::string& text) {
-    auto j = config::parse_checked(text, worker_schema);
+    auto j = config::parse_validated(text, worker_schema);
     WorkerSettings s;
     s.name = j.at("name");
     s.listen = j.at("listen");
--- a/tests/fuzz/untrusted.cpp
+++ b/tests/fuzz/untrusted.cpp
@@ -2,7 +2,7 @@
 //   clang++ -std=c++20 -g -fsanitize=fuzzer,address,undefined -Isrc tests/fuzz/untrusted.cpp src/wire/*.cpp
 //     src/depot/*.cpp src/lab/state_store.cpp src/store/*.cpp src/state/records.cpp src/quota/tree.cpp
 //     src/quota/book.cpp src/leases/leases.cpp -DSPDLOG_HEADER_ONLY -lsqlite3 -lxxhash
-// Built by CI with a driver of its own, which plays a fixed number of changed messages.
+// BuildResult by CI with a driver of its own, which plays a fixed number of changed messages.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -13,7 +13,7 @@
 #include "depot/depot.hpp"
 #include "lab/state_store.hpp"
 #include "leases/leases.hpp"
-#include "quota/book.hpp"
+#include "quota/versions.hpp"
 #include "state/records.hpp"
 #include "wire/messages.hpp"
 #include "wire/submission.hpp"
@@ -60,18 +60,19 @@
     auto change = quota::parse_change(*body);
     if (auto* c = std::get_if<quota::Change>(&change)) {
         if (!std::holds_alternative<quota::Change>(quota::parse_change(quota::to_json(*c)))) std::abort();
-        static const std::vector<quota::Team> teams{{"c", {10, {}, {}}, {2, {}, {}}}};
-        auto next = quota::Book({{"a", "", "", {4, {}, {}}, {}}, {"t", "a", "c", {}, {}}}).next(*c, teams, 0);
-        if (auto* good = std::get_if<quota::Book::Next>(&next)) {
+        static const std::vector<quota::TeamQuota> teams{{"c", {10, {}, {}}, {2, {}, {}}}};
+        auto next = quota::VersionedQuotas({{"a", "", "", {4, {}, {}}, {}}, {"t", "a", "c", {}, {}}})
+                        .with_change(*c, teams, 0);
+        if (auto* good = std::get_if<quota::VersionedQuotas::NextVersion>(&next)) {
             std::map<std::string, wire::Json> records;
             for (auto& w : good->writes) records[w.key] = w.value;
-            auto read = quota::Book::read(records, 16 * 1024);
-            if (!std::holds_alternative<quota::Book>(read) ||
-                std::get<quota::Book>(read).lines() != good->book.lines())
+            auto read = quota::VersionedQuotas::from_records(records, 16 * 1024);
+            if (!std::holds_alternative<quota::VersionedQuotas>(read) ||
+                std::get<quota::VersionedQuotas>(read).entries() != good->book.entries())
                 std::abort();
         }
     }
-    quota::Book::read({{quota::head_key, *body}, {"quota/0a", *body}}, 16 * 1024);
+    quota::VersionedQuotas::from_records({{quota::head_key, *body}, {"quota/0a", *body}}, 16 * 1024);
     reads_again<leases::parse_heartbeat>(*body);
     reads_again<leases::parse_renewal_grant>(*body);
     reads_again<cells::parse_request>(*body);
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -4,7 +4,7 @@
 #include "cells/records.hpp"
 #include "golden.hpp"
 #include "golden_samples.hpp"
-#include "quota/book.hpp"
+#include "quota/versions.hpp"
 #include "state/records.hpp"
 
 namespace barrowrun {
@@ -59,12 +59,12 @@
             accepted_ms};
 }
 
-quota::Line sample_node() {
+quota::QuotaEntry sample_node() {
     return {"night", "lab/slips", "harbour", {12.5, 2.0, 64.0}, {4.0, 1.0, 16.0}};
 }
 
 /// The team of the platform that the sample quotas name.
-std::vector<quota::Team> sample_teams() {
+std::vector<quota::TeamQuota> sample_teams() {
     return {{"harbour", {}, {}}};
 }
 
@@ -87,7 +87,7 @@
     return {6, {sample_node()}, {"lab/old"}, 90.0, "an operator", "a second hall", "n-1"};
 }
 
-Json writes_json(const std::vector<quota::Book::Written>& writes) {
+Json writes_json(const std::vector<quota::VersionedQuotas::Written>& writes) {
     Json out = Json::array();
     for (auto& written : writes) out.push_back({{"key", written.key}, {"value", written.value}});
     return out;
@@ -100,9 +100,10 @@
 }
 
 /// The writes of a change; an empty list and a failure if it was refused.
-Json writes_of(const quota::Book& book, const quota::Change& change, std::int64_t at_ms) {
-    auto next = book.next(change, sample_teams(), at_ms);
-    if (auto* made = std::get_if<quota::Book::Next>(&next)) return writes_json(made->writes);
+Json writes_of(const quota::VersionedQuotas& book, const quota::Change& change, std::int64_t at_ms) {
+    auto next = book.with_change(change, sample_teams(), at_ms);
+    if (auto* made = std::get_if<quota::VersionedQuotas::NextVersion>(&next))
+        return writes_json(made->writes);
     ADD_FAILURE() << std::get<1>(next).front().str();
     return Json::array();
 }
@@ -201,11 +202,12 @@
 
 TEST(GoldenRecords, Quotas) {
     GoldenDirectory golden("quotas");
-    golden.message_and_malformed("node", to_json(sample_node()),
-                                 rewrite_by(quota::parse_line, [](auto& value) { return to_json(value); }));
+    golden.message_and_malformed(
+        "node", to_json(sample_node()),
+        rewrite_by(quota::parse_quota_entry, [](auto& value) { return to_json(value); }));
     golden.message_and_malformed(
         "history-entry", to_json(quota::Entry{7, accepted_ms, "an operator", "a second hall", "n-1", 2, 1}),
-        rewrite_by(quota::parse_entry, [](auto& value) { return to_json(value); }));
+        rewrite_by(quota::parse_change_summary, [](auto& value) { return to_json(value); }));
     golden.message_and_malformed("change", to_json(change_with_every_field()),
                                  testing::RewriteOrWhy([](const Json& document) -> testing::Rewritten {
                                      auto parsed = quota::parse_change(document);
@@ -217,12 +219,12 @@
 
 TEST(GoldenRecords, QuotaPagesAndHeadThroughTwoChanges) {
     GoldenDirectory golden("quota_versions");
-    const auto first = writes_of(quota::Book{}, first_change(), accepted_ms);
+    const auto first = writes_of(quota::VersionedQuotas{}, first_change(), accepted_ms);
     golden.document("first-version", first);
-    auto read = quota::Book::read(as_records(first), 16 * 1024);
-    ASSERT_TRUE(std::holds_alternative<quota::Book>(read)) << std::get<std::string>(read);
+    auto read = quota::VersionedQuotas::from_records(as_records(first), 16 * 1024);
+    ASSERT_TRUE(std::holds_alternative<quota::VersionedQuotas>(read)) << std::get<std::string>(read);
     golden.document("second-version",
-                    writes_of(std::get<quota::Book>(read), second_change(), accepted_ms + 1000));
+                    writes_of(std::get<quota::VersionedQuotas>(read), second_change(), accepted_ms + 1000));
 }
 
 }  // namespace barrowrun
--- a/tests/guarantees_test.cpp
+++ b/tests/guarantees_test.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-std::vector<quota::Line> lines(const std::string& nodes) {
-    return config::read_quotas_text("{\"nodes\":[" + nodes + "]}").set;
+std::vector<quota::QuotaEntry> lines(const std::string& nodes) {
+    return config::parse_quotas_text("{\"nodes\":[" + nodes + "]}").set_entries;
 }
 
 placement::Config two_teams(double guaranteed = 4) {
@@ -36,7 +36,7 @@
         s.priority = p;
         return s;
     }
-    quota::NodeId node(const std::string& path) { return *cluster->ledger().tree().by_path(path); }
+    quota::NodeId node(const std::string& path) { return *cluster->ledger().tree().find_by_path(path); }
     double used(const std::string& path) { return cluster->ledger().used(node(path)).cpus; }
     std::size_t stopping() {
         std::size_t n = 0;
@@ -66,7 +66,7 @@
 
 quota::TreePtr build(const std::string& nodes, const placement::Config& rules) {
     auto built = quota::Tree::build(lines(nodes), placement::quota_teams(rules.teams));
-    for (auto& f : built.faults) ADD_FAILURE() << f.str();
+    for (auto& f : built.errors) ADD_FAILURE() << f.str();
     return built.tree;
 }
 
@@ -486,7 +486,7 @@
         }
     }
     double used(const std::string& path) {
-        auto n = cluster->ledger().tree().by_path(path);
+        auto n = cluster->ledger().tree().find_by_path(path);
         return n ? cluster->ledger().used(*n).cpus : 0;
     }
     // What is on the machines is charged at every level, and what is charged is within the limit in force.
@@ -494,12 +494,12 @@
         for (auto& node : tree->nodes()) {
             if (node.path.empty()) continue;
             double real = 0;
-            auto id = *tree->by_path(node.path);
+            auto id = *tree->find_by_path(node.path);
             for (auto& [name, w] : workers)
                 for (auto& [a, s] : w.tasks) {
                     auto& spec = jobs.at(a.task.job);
                     if (s.first != TaskState::exited &&
-                        tree->within(*tree->account(spec.team, spec.project), id))
+                        tree->within(*tree->account_for(spec.team, spec.project), id))
                         real += spec.need.cpus;
                 }
             const double charged = used(node.path);
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -13,41 +13,41 @@
 
 namespace {
 
-const std::vector<Team> platform{
+const std::vector<TeamQuota> platform{
     {"crew", {100, std::nullopt, std::nullopt}, {20, std::nullopt, std::nullopt}},
     {"desk", {std::nullopt, 4, std::nullopt}, {}}};
 
-TreePtr tree(const std::string& nodes, const std::vector<Team>& teams = platform) {
-    auto built = Tree::build(config::read_quotas_text("{\"nodes\":[" + nodes + "]}").set, teams);
-    for (auto& f : built.faults) ADD_FAILURE() << f.str();
+TreePtr tree(const std::string& nodes, const std::vector<TeamQuota>& teams = platform) {
+    auto built = Tree::build(config::parse_quotas_text("{\"nodes\":[" + nodes + "]}").set_entries, teams);
+    for (auto& f : built.errors) ADD_FAILURE() << f.str();
     return built.tree;
 }
 
 // The first thing that is said about it, wherever that is found out.
 std::string fault(const std::string& nodes) {
     try {
-        auto built = Tree::build(
-            config::read_quotas_text(nodes.starts_with("!") ? nodes.substr(1) : "{\"nodes\":[" + nodes + "]}")
-                .set,
-            platform);
-        return built.faults.empty() ? "" : built.faults.front().str();
+        auto built = Tree::build(config::parse_quotas_text(
+                                     nodes.starts_with("!") ? nodes.substr(1) : "{\"nodes\":[" + nodes + "]}")
+                                     .set_entries,
+                                 platform);
+        return built.errors.empty() ? "" : built.errors.front().str();
     } catch (const config::ConfigError& e) {
         return e.what();
     }
 }
 
 // A random tree of projects below teams below bureaus; limits and guarantees nest.
-std::vector<Line> random_lines(std::mt19937_64& random, int bureaus, int teams, int projects) {
+std::vector<QuotaEntry> random_lines(std::mt19937_64& random, int bureaus, int teams, int projects) {
     auto pick = [&](int n) { return static_cast<double>(random() % static_cast<std::uint64_t>(n)); };
-    std::vector<Line> out;
+    std::vector<QuotaEntry> out;
     for (int b = 0; b < bureaus; ++b) {
-        Line bureau{"b" + std::to_string(b), "", "", {}, {}};
+        QuotaEntry bureau{"b" + std::to_string(b), "", "", {}, {}};
         bureau.guarantee.cpus = 8 + pick(16);
         if (pick(2) > 0) bureau.limit.cpus = *bureau.guarantee.cpus + pick(24);
         out.push_back(bureau);
         double left = *bureau.guarantee.cpus;
         for (int t = 0; t < teams; ++t) {
-            Line team{"t" + std::to_string(t), bureau.name, "", {}, {}};
+            QuotaEntry team{"t" + std::to_string(t), bureau.name, "", {}, {}};
             team.guarantee.cpus = std::floor(left * pick(4) / 8);
             left -= *team.guarantee.cpus;
             if (pick(3) == 0)
@@ -56,7 +56,7 @@
             out.push_back(team);
             double rest = *team.guarantee.cpus;
             for (int p = 0; p < projects; ++p) {
-                Line project{"p" + std::to_string(p), bureau.name + "/" + team.name, "", {}, {}};
+                QuotaEntry project{"p" + std::to_string(p), bureau.name + "/" + team.name, "", {}, {}};
                 project.guarantee.cpus = std::floor(rest * pick(3) / 4);
                 rest -= *project.guarantee.cpus;
                 out.push_back(project);
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-TEST(QuotaTree, EveryFaultIsSaidWithItsPath) {
+TEST(QuotaTree, EveryValidationErrorNamesItsPath) {
     struct {
         const char *nodes, *said;
     } cases[] = {
@@ -134,7 +134,7 @@
         {"![]", "<root>"},
         {"!{}", "nodes"},
         {R"!(!{"nodes":{}})!", "nodes"},
-        {R"!(!{"nodes":[],"shrink_s":-1})!", "shrink_s"},
+        {R"!(!{"nodes":[],"over_limit_grace_s":-1})!", "shrink_s"},
         {R"!(!{"nodes":[],"shrink":1})!", "shrink"},
     };
     static_assert(std::size(cases) >= 40);
@@ -147,19 +147,20 @@
     auto t = tree(R"({"name":"bureau","guarantee":{"cpus":20}},{"name":"crew","in":"bureau","team":"crew"},
         {"name":"slips","in":"crew","limit":{"cpus":8}},{"name":"night","in":"bureau/crew/slips"})");
     ASSERT_TRUE(t);
-    auto night = t->project("crew", "slips/night");
+    auto night = t->find_project("crew", "slips/night");
     ASSERT_TRUE(night);
     EXPECT_EQ(t->node(*night).path, "bureau/crew/slips/night");
-    EXPECT_FALSE(t->project("crew", "slips/day"));
+    EXPECT_FALSE(t->find_project("crew", "slips/day"));
     // What there is not is charged to the nearest above: a node that is dropped leaves no job without an
     // account.
-    EXPECT_EQ(t->node(*t->account("crew", "slips/day")).path, "bureau/crew/slips");
-    EXPECT_EQ(t->node(*t->account("crew", "x/y/z")).path, "bureau/crew");
-    EXPECT_FALSE(t->account("ghost", ""));
-    EXPECT_EQ(t->node(*t->account("desk", "")).path, "desk") << "a team that no line names stands at the top";
-    EXPECT_EQ(t->node(*t->account("crew", "")).limit.cpus, 100) << "the platform's limit holds";
-    EXPECT_EQ(t->common(*night, *t->by_path("bureau")), *t->by_path("bureau"));
-    EXPECT_EQ(t->common(*night, *t->by_path("desk")), root);
+    EXPECT_EQ(t->node(*t->account_for("crew", "slips/day")).path, "bureau/crew/slips");
+    EXPECT_EQ(t->node(*t->account_for("crew", "x/y/z")).path, "bureau/crew");
+    EXPECT_FALSE(t->account_for("ghost", ""));
+    EXPECT_EQ(t->node(*t->account_for("desk", "")).path, "desk")
+        << "a team that no line names stands at the top";
+    EXPECT_EQ(t->node(*t->account_for("crew", "")).limit.cpus, 100) << "the platform's limit holds";
+    EXPECT_EQ(t->lowest_common_ancestor(*night, *t->find_by_path("bureau")), *t->find_by_path("bureau"));
+    EXPECT_EQ(t->lowest_common_ancestor(*night, *t->find_by_path("desk")), root);
 }
 
 TEST(QuotaLedger, DeltasAgreeWithAPlainSumAndEveryLevelRefuses) {
@@ -188,7 +189,7 @@
                 for (NodeId n = account; n != root; n = t.node(n).parent)
                     fits &= used(n).cpus + need.cpus <= t.node(n).limit.cpus + 1e-6;
                 ASSERT_EQ(ledger.admits(account, need, 1), fits);
-                ASSERT_EQ(ledger.refusing(account, need).has_value(), !fits);
+                ASSERT_EQ(ledger.first_exceeded_limit(account, need).has_value(), !fits);
                 if (!fits) continue;
                 ledger.charge(account, need);
                 held.emplace_back(account, need);
@@ -208,9 +209,9 @@
         {"name":"x","in":"o","guarantee":{"cpus":4}},{"name":"y","in":"o","guarantee":{"cpus":4}},
         {"name":"z","guarantee":{"cpus":2}})",
                   {});
-    auto at = [&](const char* path) { return *t->by_path(path); };
+    auto at = [&](const char* path) { return *t->find_by_path(path); };
     Ledger ledger(t);
-    std::vector<Unit> units;
+    std::vector<PreemptionCandidate> units;
     auto hold = [&](const char* who, std::uint32_t host, double cpus, double loss) {
         ledger.charge(at(who), {cpus, 0, 0});
         units.push_back({{{host, {cpus, 0, 0}}}, at(who), loss, false});
@@ -219,51 +220,52 @@
     hold("o/y", 0, 4, 50);  // a sibling, within its guarantee
     hold("o/y", 1, 2, 60);  // and beyond it
     std::vector<Resources> rooms(2);
-    auto y = reclaim(ledger, rooms, units, {at("o/x"), {2, 0, 0}, 1});
-    ASSERT_EQ(y.room_on.size(), 1u);
-    EXPECT_EQ(y.stop, std::vector<std::size_t>{2})
+    auto y = plan_guarantee_reclaim(ledger, rooms, units, {at("o/x"), {2, 0, 0}, 1});
+    ASSERT_EQ(y.task_hosts.size(), 1u);
+    EXPECT_EQ(y.victims, std::vector<std::size_t>{2})
         << "the sibling's borrowed task, not the stranger's cheaper one";
     // Two more: the sibling has nothing left to give; the stranger would go below its guarantee with all of
     // it gone.
-    y = reclaim(ledger, rooms, units, {at("o/x"), {2, 0, 0}, 2});
-    EXPECT_EQ(y.room_on.size(), 1u);
+    y = plan_guarantee_reclaim(ledger, rooms, units, {at("o/x"), {2, 0, 0}, 2});
+    EXPECT_EQ(y.task_hosts.size(), 1u);
     // A gang goes whole, and what it leaves elsewhere counts.
     units = {{{{0, {2, 0, 0}}, {1, {2, 0, 0}}}, at("z"), 5, false}};
     ledger = Ledger(t);
     for (int i = 0; i < 2; ++i) ledger.charge(at("z"), {2, 0, 0});
     for (int i = 0; i < 2; ++i) ledger.charge(at("z"), {1, 0, 0});
-    y = reclaim(ledger, rooms, units, {at("o/x"), {2, 0, 0}, 2});
-    EXPECT_EQ(y.stop.size(), 1u);
-    EXPECT_EQ(y.room_on.size(), 2u);
+    y = plan_guarantee_reclaim(ledger, rooms, units, {at("o/x"), {2, 0, 0}, 2});
+    EXPECT_EQ(y.victims.size(), 1u);
+    EXPECT_EQ(y.task_hosts.size(), 2u);
     // Beyond its own guarantee nobody is entitled to anything.
     for (int i = 0; i < 4; ++i) ledger.charge(at("o/x"), {1, 0, 0});
     for (int i = 0; i < 8; ++i) ledger.charge(at("o/y"), {1, 0, 0});
-    EXPECT_TRUE(reclaim(ledger, rooms, units, {at("o/x"), {2, 0, 0}, 1}).stop.empty());
+    EXPECT_TRUE(plan_guarantee_reclaim(ledger, rooms, units, {at("o/x"), {2, 0, 0}, 1}).victims.empty());
 }
 
-TEST(QuotaReclaim, ALoweredLimitIsMetBySavingTasksFirstThenTheLeastLoss) {
+TEST(QuotaReclaim, ALoweredLimitPreemptsCheckpointingTasksFirstThenTheLeastLoss) {
     auto t = tree(R"({"name":"a","limit":{"cpus":4}})", {});
-    const auto a = *t->by_path("a");
+    const auto a = *t->find_by_path("a");
     Ledger ledger(t);
-    std::vector<Unit> units;
-    for (auto [loss, keeps] :
+    std::vector<PreemptionCandidate> units;
+    for (auto [loss, checkpoints] :
          {std::pair(1.0, false), std::pair(9.0, true), std::pair(2.0, false), std::pair(3.0, true)}) {
-        units.push_back({{{0, {2, 0, 0}}}, a, loss, keeps});
+        units.push_back({{{0, {2, 0, 0}}}, a, loss, checkpoints});
         ledger.charge(a, {2, 0, 0});
     }
-    EXPECT_EQ(shrink(ledger, a, {}, units, true), (std::vector<std::size_t>{3, 1}));
-    EXPECT_EQ(shrink(ledger, a, {2, 0, 0}, units, true), (std::vector<std::size_t>{3}))
+    EXPECT_EQ(plan_limit_reclaim(ledger, a, {}, units, true), (std::vector<std::size_t>{3, 1}));
+    EXPECT_EQ(plan_limit_reclaim(ledger, a, {2, 0, 0}, units, true), (std::vector<std::size_t>{3}))
         << "one stops already";
-    units[1].keeps = units[3].keeps = false;
-    EXPECT_TRUE(shrink(ledger, a, {}, units, true).empty())
+    units[1].checkpoints = units[3].checkpoints = false;
+    EXPECT_TRUE(plan_limit_reclaim(ledger, a, {}, units, true).empty())
         << "those that don't save are let run for a while";
-    EXPECT_EQ(shrink(ledger, a, {}, units, false), (std::vector<std::size_t>{0, 2}));
+    EXPECT_EQ(plan_limit_reclaim(ledger, a, {}, units, false), (std::vector<std::size_t>{0, 2}));
 }
 
 // The least loss that makes room for all that the planner made room for, by GLPK: x_u = unit u stops, y_h =
 // tasks that find room on host h. Holders keep their guarantees.
-double least_loss(const Ledger& ledger, const std::vector<Resources>& rooms, const std::vector<Unit>& units,
-                  const Want& want, std::size_t tasks) {
+double least_loss(const Ledger& ledger, const std::vector<Resources>& rooms,
+                  const std::vector<PreemptionCandidate>& units, const ReclaimRequest& want,
+                  std::size_t tasks) {
     const auto& t = ledger.tree();
     glp_term_out(GLP_OFF);
     glp_prob* p = glp_create_prob();
@@ -300,7 +302,7 @@
     for (std::size_t j = 0; j < rooms.size(); ++j) all[static_cast<std::size_t>(u) + j] = 1;
     row(all, GLP_LO, static_cast<double>(tasks));
     for (NodeId n = 1; n < t.size(); ++n) {
-        if (!t.node(n).guaranteed() || t.within(want.account, n)) continue;
+        if (!t.node(n).has_guarantee() || t.within(want.account, n)) continue;
         std::vector<double> c(columns);
         bool any = false;
         for (std::size_t i = 0; i < units.size(); ++i)
@@ -324,7 +326,7 @@
     std::vector<double> ratios;
     for (int instance = 0; instance < 2000; ++instance) {
         // One level, so that all are equally near: the needy one and up to four that hold what there is.
-        std::vector<Line> lines{{"needy", "", "", {}, {}}};
+        std::vector<QuotaEntry> lines{{"needy", "", "", {}, {}}};
         lines[0].guarantee.cpus = 40;
         const auto others = 1 + random() % 4;
         for (std::uint64_t k = 0; k < others; ++k) {
@@ -335,7 +337,7 @@
         Ledger ledger(t);
         const auto hosts = static_cast<std::uint32_t>(1 + random() % 5);
         std::vector<Resources> rooms(hosts);
-        std::vector<Unit> units;
+        std::vector<PreemptionCandidate> units;
         for (std::uint32_t h = 0; h < hosts; ++h) {
             double room = 8;
             for (auto n = random() % 6; n > 0 && room > 0; --n) {
@@ -353,27 +355,27 @@
             units.push_back({{{0, {1, 0, 0}}, {1, {1, 0, 0}}}, 2, 2 + pick(40), false});
             for (int i = 0; i < 2; ++i) ledger.charge(2, {1, 0, 0});
         }
-        Want want{1, {1 + pick(5), 0, 0}, static_cast<std::uint32_t>(1 + random() % 4)};
-        auto plan = reclaim(ledger, rooms, units, want);
+        ReclaimRequest want{1, {1 + pick(5), 0, 0}, static_cast<std::uint32_t>(1 + random() % 4)};
+        auto plan = plan_guarantee_reclaim(ledger, rooms, units, want);
         // Valid: what stops leaves the room that is promised, and nobody below a guarantee.
         auto left = rooms;
         Ledger after = ledger;
-        std::set<std::size_t> once(plan.stop.begin(), plan.stop.end());
-        ASSERT_EQ(once.size(), plan.stop.size());
-        for (auto u : plan.stop)
+        std::set<std::size_t> once(plan.victims.begin(), plan.victims.end());
+        ASSERT_EQ(once.size(), plan.victims.size());
+        for (auto u : plan.victims)
             for (auto& part : units[u].parts)
                 left[part.host] += part.need, after.release(units[u].account, part.need);
-        for (auto h : plan.room_on) left[h] -= want.need;
+        for (auto h : plan.task_hosts) left[h] -= want.need;
         for (auto& r : left) ASSERT_GE(r.cpus, -1e-9);
         for (NodeId n = 2; n < t->size(); ++n)
             ASSERT_GE(after.used(n).cpus, std::min(ledger.used(n).cpus, t->node(n).guarantee.cpus) - 1e-9);
-        ASSERT_LE(plan.room_on.size(), want.tasks);
-        if (plan.room_on.empty()) {
+        ASSERT_LE(plan.task_hosts.size(), want.tasks);
+        if (plan.task_hosts.empty()) {
             EXPECT_LT(least_loss(ledger, rooms, units, want, 1), 0)
                 << "a solver finds room for one, instance " << instance;
             continue;
         }
-        double best = least_loss(ledger, rooms, units, want, plan.room_on.size());
+        double best = least_loss(ledger, rooms, units, want, plan.task_hosts.size());
         ASSERT_GE(best, 0) << instance;
         ASSERT_LE(best, plan.loss + 1e-6) << instance;
         ++solved;
@@ -391,28 +393,28 @@
     EXPECT_LE(worst, 1.25);
 }
 
-TEST(QuotaBook, AChangeIsItsPagesAndTheHeadAndWhateverIsLostTheVersionBeforeStands) {
+TEST(QuotaVersions, AChangeWritesItsPagesThenTheHeadAndATornWriteLeavesTheVersionBefore) {
     std::mt19937_64 random(3);
-    std::vector<Line> lines;
+    std::vector<QuotaEntry> lines;
     for (int i = 0; i < 600; ++i)
         lines.push_back(
             {"n" + std::to_string(i), i % 10 ? "n" + std::to_string(i - i % 10) : "", "", {}, {}});
-    Book book(lines, 16 * 1024);
+    VersionedQuotas book(lines, 16 * 1024);
     std::map<std::string, Json> stored;
     for (int step = 0; step < 60; ++step) {
         Change change;
-        change.base = book.version();
+        change.base_version = book.version();
         auto k = random() % 600;
-        change.set.push_back(
+        change.set_entries.push_back(
             {"n" + std::to_string(k), k % 10 ? "n" + std::to_string(k - k % 10) : "", "", {5, {}, {}}, {}});
-        change.set.back().limit.cpus = static_cast<double>(random() % 100);
-        if (k % 10) change.set.back().limit = {};
-        if (step % 7 == 3) change.set.push_back({"new" + std::to_string(step), "n0", "", {}, {}});
-        if (step % 7 == 5) change.drop.push_back("n0/new" + std::to_string(step - 2));
-        auto result = book.next(change, {}, 1000 + step);
-        if (auto* f = std::get_if<std::vector<Fault>>(&result)) FAIL() << f->front().str();
-        auto& next = std::get<Book::Next>(result);
-        if (step > 0 && change.set.size() == 1 && change.drop.empty()) {
+        change.set_entries.back().limit.cpus = static_cast<double>(random() % 100);
+        if (k % 10) change.set_entries.back().limit = {};
+        if (step % 7 == 3) change.set_entries.push_back({"new" + std::to_string(step), "n0", "", {}, {}});
+        if (step % 7 == 5) change.removed_paths.push_back("n0/new" + std::to_string(step - 2));
+        auto result = book.with_change(change, {}, 1000 + step);
+        if (auto* f = std::get_if<std::vector<ValidationError>>(&result)) FAIL() << f->front().str();
+        auto& next = std::get<VersionedQuotas::NextVersion>(result);
+        if (step > 0 && change.set_entries.size() == 1 && change.removed_paths.empty()) {
             EXPECT_LE(next.writes.size(), 2u);
         }
         EXPECT_EQ(next.writes.back().key, head_key);
@@ -422,44 +424,45 @@
             auto torn = stored;
             for (std::size_t i = 0; i + 1 < next.writes.size(); ++i)
                 torn[next.writes[i].key] = next.writes[i].value;
-            auto before = Book::read(torn, 16 * 1024);
-            ASSERT_TRUE(std::holds_alternative<Book>(before));
-            EXPECT_EQ(std::get<Book>(before).lines(), book.lines());
-            EXPECT_EQ(std::get<Book>(before).version(), book.version());
+            auto before = VersionedQuotas::from_records(torn, 16 * 1024);
+            ASSERT_TRUE(std::holds_alternative<VersionedQuotas>(before));
+            EXPECT_EQ(std::get<VersionedQuotas>(before).entries(), book.entries());
+            EXPECT_EQ(std::get<VersionedQuotas>(before).version(), book.version());
         }
         for (auto& w : next.writes) stored[w.key] = w.value;
         book = next.book;
-        auto read = Book::read(stored, 16 * 1024);
-        ASSERT_TRUE(std::holds_alternative<Book>(read));
-        EXPECT_EQ(std::get<Book>(read).lines(), book.lines());
-        EXPECT_EQ(std::get<Book>(read).history().back().version, book.version());
+        auto read = VersionedQuotas::from_records(stored, 16 * 1024);
+        ASSERT_TRUE(std::holds_alternative<VersionedQuotas>(read));
+        EXPECT_EQ(std::get<VersionedQuotas>(read).entries(), book.entries());
+        EXPECT_EQ(std::get<VersionedQuotas>(read).history().back().version, book.version());
     }
     EXPECT_LE(book.history().size(), 16u);
     // A page that is gone is said, not guessed.
-    stored.erase(key_prefix + std::string("0") + stored.at(head_key).at("slots").get<std::string>().front());
-    EXPECT_TRUE(std::holds_alternative<std::string>(Book::read(stored, 16 * 1024)));
+    stored.erase(record_prefix + std::string("0") +
+                 stored.at(head_key).at("slots").get<std::string>().front());
+    EXPECT_TRUE(std::holds_alternative<std::string>(VersionedQuotas::from_records(stored, 16 * 1024)));
 }
 
-TEST(QuotaBook, FaultyChangesChangeNothing) {
-    Book book({{"a", "", "", {4, {}, {}}, {}}}, 16 * 1024);
+TEST(QuotaVersions, InvalidChangesAreRejectedWhole) {
+    VersionedQuotas book({{"a", "", "", {4, {}, {}}, {}}}, 16 * 1024);
     auto said = [&](Change c) {
-        auto result = book.next(c, {}, 0);
-        auto* f = std::get_if<std::vector<Fault>>(&result);
+        auto result = book.with_change(c, {}, 0);
+        auto* f = std::get_if<std::vector<ValidationError>>(&result);
         return f ? f->front().str() : "";
     };
     Change child;
-    child.set.push_back({"b", "a", "", {5, {}, {}}, {}});
+    child.set_entries.push_back({"b", "a", "", {5, {}, {}}, {}});
     EXPECT_EQ(said(child), "a/b: limit.cpus 5: a allows 4");
     Change gone;
-    gone.drop = {"z"};
+    gone.removed_paths = {"z"};
     EXPECT_EQ(said(gone), "z: there is no such node to drop");
     Change orphan;
-    orphan.set.push_back({"b", "a", "", {}, {}});
-    orphan.drop = {"a"};
+    orphan.set_entries.push_back({"b", "a", "", {}, {}});
+    orphan.removed_paths = {"a"};
     EXPECT_EQ(said(orphan), "b: no node 'a' to be in");
     for (const char* bad : {R"([])", R"({})", R"({"base":1,"set":{}})", R"({"base":1,"set":[{}]})",
                             R"({"base":1,"drop":[1]})", R"({"base":1,"shrink_s":-2})", R"({"base":-1})"})
         EXPECT_TRUE(std::holds_alternative<std::string>(parse_change(Json::parse(bad)))) << bad;
     auto back = parse_change(to_json(child));
-    EXPECT_EQ(std::get<Change>(back).set, child.set);
+    EXPECT_EQ(std::get<Change>(back).set_entries, child.set_entries);
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -28,16 +28,16 @@
 }
 }  // namespace
 
-TEST(Settings, ThePlatformsFileIsRead) {
+TEST(Settings, ReadsThePlatformFile) {
     auto s = parse_settings(good().dump());
-    EXPECT_EQ(s.node, "barrow-0");
+    EXPECT_EQ(s.node_name, "barrow-0");
     EXPECT_EQ(s.members.size(), 1u);
-    EXPECT_EQ(s.rules.lease_s, 22.0);
-    EXPECT_EQ(s.rules.txn_ops, 32u);
-    EXPECT_EQ(s.rules.objectives.size(), 1u);
+    EXPECT_EQ(s.placement.lease_s, 22.0);
+    EXPECT_EQ(s.placement.txn_ops, 32u);
+    EXPECT_EQ(s.placement.objectives.size(), 1u);
 }
 
-TEST(Settings, WhatIsWrongIsNamed) {
+TEST(Settings, ErrorsNameTheField) {
     EXPECT_NE(error_of(Json::array()), "");
     auto j = good();
     j.erase("serve_on");
@@ -57,9 +57,9 @@
 TEST(OperatorSettings, AreCheckedAgainstTheSchema) {
     auto s = parse_settings(good().dump());
     apply_operator_settings(s, R"({"queue_bound": 1000, "leader_hold_ms": 4000})");
-    EXPECT_EQ(s.rules.queue_bound, 1000u);
+    EXPECT_EQ(s.placement.queue_bound, 1000u);
     EXPECT_EQ(s.leader_lease, std::chrono::milliseconds(4000));
-    s.rules.lease_s = 20, s.rules.cancel_s = 50;
+    s.placement.lease_s = 20, s.placement.cancel_s = 50;
     EXPECT_GT(s.lease_renewal_period(), std::chrono::seconds(29));
     apply_operator_settings(s, R"({"keep_leases": false})");
     EXPECT_EQ(s.lease_renewal_period(), std::chrono::seconds(0));
--- a/tests/sim/site.cpp
+++ b/tests/sim/site.cpp
@@ -56,18 +56,18 @@
     cloud_->on_return = [this](const std::string& name) {
         if (auto it = workers_.find(name); it != workers_.end()) it->second->die();
     };
-    settings_.cloud = "cloud";
-    settings_.state = "state";
-    settings_.rules.lease_s = options_.lease_s;
-    settings_.rules.cancel_s = options_.cancel_s;
-    settings_.rules.heartbeat_s = options_.heartbeat_s;
-    settings_.rules.txn_ops = 32;
-    settings_.rules.teams[team] = {0, 0, options_.team_cpus_most, 0};
+    settings_.cloud_address = "cloud";
+    settings_.state_service_address = "state";
+    settings_.placement.lease_s = options_.lease_s;
+    settings_.placement.cancel_s = options_.cancel_s;
+    settings_.placement.heartbeat_s = options_.heartbeat_s;
+    settings_.placement.txn_ops = 32;
+    settings_.placement.teams[team] = {0, 0, options_.team_cpus_most, 0};
     if (options_.start_within_s > 0)
-        settings_.rules.objectives.push_back({"wait", "batch", options_.start_within_s, 1});
-    settings_.state_rps = options_.state_rps;
-    settings_.state_write_rps = options_.state_write_rps;
-    settings_.cloud_rps = 5;
+        settings_.placement.objectives.push_back({"wait", "batch", options_.start_within_s, 1});
+    settings_.state_requests_per_s = options_.state_rps;
+    settings_.state_writes_per_s = options_.state_write_rps;
+    settings_.cloud_requests_per_s = 5;
     settings_.list_lag_s = 3;
     settings_.renews_leases = options_.keep_leases;
     processes_.resize(nodes);
@@ -90,10 +90,10 @@
     p->rate = 1 + (static_cast<double>(world.random() % 1001) - 500) * 1e-6;
     p->day_off = std::chrono::milliseconds(world.random() % 50) - 25ms;
     auto s = std::make_unique<settings::Settings>(settings_);
-    s->node = node_name(i);
+    s->node_name = node_name(i);
     s->zone = options_.zones[i % options_.zones.size()];
-    s->listen = public_address(i);
-    s->peer_listen = node_name(i) + ":peers";
+    s->listen_address = public_address(i);
+    s->peer_listen_address = node_name(i) + ":peers";
     for (std::size_t k = 0; k < nodes; ++k)
         if (k != i) s->members.push_back({node_name(k), node_name(k) + ":peers"});
     world.add(*p);
--- a/tests/spill_test.cpp
+++ b/tests/spill_test.cpp
@@ -139,7 +139,7 @@
 TEST(CellSettings, FaultsAreNamedByPlace) {
     auto fault = [](const std::string& text, const std::set<std::string>& limited = {}) {
         try {
-            config::read_cells(wire::Json::parse(text), limited);
+            config::parse_cells(wire::Json::parse(text), limited);
         } catch (const config::ConfigError& e) {
             return std::string(e.what());
         }
@@ -160,7 +160,7 @@
     EXPECT_NE(
         fault(R"({"self":"east","neighbours":{},"teams":{},"return_after_s":{"batch":0}})").find("batch"),
         std::string::npos);
-    auto given = config::read_cells(
+    auto given = config::parse_cells(
         wire::Json::parse(R"({"self":"east","neighbours":{},"teams":{},"return_after_s":{"batch":90.5}})"),
         {});
     EXPECT_EQ(given.return_after.at("batch"), 90'500ms);
