--- a/src/api/cells.cpp
+++ b/src/api/cells.cpp
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include "api/answers.hpp"
+#include "api/responses.hpp"
 
 namespace barrowrun::api {
 using cells::Answer;
@@ -298,16 +298,16 @@
 
 Task<Response> Cells::asked(cells::Request request) {
     const auto id = request.job;
-    if (!neighbour(request.from)) co_return problem(400, "not a cell that is known here");
+    if (!neighbour(request.from)) co_return error_response(400, "not a cell that is known here");
     if (!held_.contains(id)) {
         // Nothing is held: an earlier turn that is over must be met all the same.
         auto over = co_await host_.state.get(cells::turn_key(id));
         if (over.outcome != Outcome::ok && over.outcome != Outcome::absent)
-            co_return problem(503, "not now", 1);
+            co_return error_response(503, "not now", 1);
         cells::HeldRecord record;
         if (over.outcome == Outcome::ok) {
             auto parsed = cells::parse_over(over.value);
-            if (!parsed) co_return problem(503, "a record that cannot be read", 1);
+            if (!parsed) co_return error_response(503, "a record that cannot be read", 1);
             record = std::move(*parsed);
         }
         if (!held_.contains(id)) {
@@ -320,11 +320,11 @@
     auto end = Clock::now() + 2500ms;
     bool first = true;
     for (;;) {
-        if (!host_.may_act()) co_return problem(503, "not entitled to act", 1);
+        if (!host_.may_act()) co_return error_response(503, "not entitled to act", 1);
         auto it = held_.find(id);
-        if (it == held_.end()) co_return problem(503, "not now", 1);
+        if (it == held_.end()) co_return error_response(503, "not now", 1);
         Holding& h = it->second;
-        if (h.owner != request.from) co_return problem(400, "the part is another cell's");
+        if (h.owner != request.from) co_return error_response(400, "the part is another cell's");
         std::optional<Answer> answer;
         if (request.spec) {
             const auto& s = *request.spec;
--- a/src/api/workers.cpp
+++ b/src/api/command_dispatcher.cpp
@@ -7,16 +7,16 @@
 using net::http::verb;
 using namespace std::chrono_literals;
 
-Task<Response> Leader::hello(wire::WorkerHeartbeat heartbeat, bool direct) {
+Task<Response> Leader::worker_heartbeat(wire::WorkerHeartbeat heartbeat, bool direct) {
     auto self = shared_from_this();
     const Response not_entitled{503, {{"error", "not entitled to act"}}};
     if (!may_act()) co_return not_entitled;
     auto now = Clock::now();
-    last_hello_ = now;
+    last_worker_heartbeat_ = now;
     direct ? reachability_.heard_directly(now) : reachability_.heard_via_peer(now);
     auto fencing_token = services_.election.fencing_token();
-    if (!loaded_) {
-        auto [it, fresh] = early_.try_emplace(heartbeat.machine, heartbeat);
+    if (!recovered_) {
+        auto [it, fresh] = pending_heartbeats_.try_emplace(heartbeat.machine, heartbeat);
         if (!fresh && std::pair(it->second.agent_epoch, it->second.seq) <
                           std::pair(heartbeat.agent_epoch, heartbeat.seq))
             it->second = heartbeat;
@@ -24,7 +24,7 @@
         // before they are read may last for longer than `cancel_s`.
         if (!services_.renewer.may_renew(heartbeat.machine, now)) co_return not_entitled;
         if (cells_ && !cells_->may_renew(heartbeat, nullptr)) co_return not_entitled;
-        early_answer_[heartbeat.machine] = now;
+        renewals_before_recovery_[heartbeat.machine] = now;
         co_return Response{200, wire::worker_heartbeat_answer(fencing_token, {})};
     }
     cluster_.lead(fencing_token, acquired_);
@@ -39,20 +39,20 @@
     auto commands = cluster_.reply_commands(*m, now, newer && !m->returning);
     if (commands.size() > 300) commands.resize(300);
     m->last_answer = now;
-    place_wake_.wake();
-    if (cluster_.has_writes()) write_wake_.wake();
-    send_touched();
+    placement_signal_.wake();
+    if (cluster_.has_writes()) write_signal_.wake();
+    dispatch_pending_commands();
     co_return Response{200, wire::worker_heartbeat_answer(fencing_token, commands)};
 }
 
 void Leader::lease_renewed(const std::string& machine, TimePoint when) {
-    if (!loaded_)
-        early_answer_[machine] = when;
+    if (!recovered_)
+        renewals_before_recovery_[machine] = when;
     else if (auto* m = cluster_.find_machine(machine))
         m->last_answer = std::max(m->last_answer, when);
 }
 
-void Leader::send_touched() {
+void Leader::dispatch_pending_commands() {
     auto now = Clock::now();
     for (auto& name : cluster_.take_machines_with_commands()) {
         auto* m = cluster_.find_machine(name);
@@ -65,11 +65,11 @@
                     : e.phase == fleet::AssignmentPhase::ready)
                 wanted = true;
         }
-        if (wanted) spawn("push " + name, push(name, false));
+        if (wanted) spawn("push " + name, dispatch(name, false));
     }
 }
 
-Task<> Leader::push(std::string name, bool fence) {
+Task<> Leader::dispatch(std::string name, bool fence) {
     bool again = true;
     for (int round = 0; again && round < 5; ++round) {
         again = false;
@@ -124,8 +124,8 @@
             } else {
                 spdlog::error("machine {} answers with something that is no heartbeat", name);
             }
-            place_wake_.wake();
-            if (cluster_.has_writes()) write_wake_.wake();
+            placement_signal_.wake();
+            if (cluster_.has_writes()) write_signal_.wake();
         } else {
             if (m->push_reachable) spdlog::info("machine {} does not answer at its address", name);
             m->push_reachable = false;
@@ -158,8 +158,8 @@
     m->push_reachable = true;
     reachability_.heard_directly(Clock::now());
     cluster_.on_heartbeat(*heartbeat, false, Clock::now());
-    place_wake_.wake();
-    send_touched();
+    placement_signal_.wake();
+    dispatch_pending_commands();
 }
 
 }  // namespace barrowrun::api
--- a/src/api/node_jobs.cpp
+++ b/src/api/job_queries.cpp
@@ -1,8 +1,8 @@
 // What users ask about jobs that are there: their state, and to cancel them.
 #include <spdlog/spdlog.h>
 
-#include "api/answers.hpp"
 #include "api/node.hpp"
+#include "api/responses.hpp"
 
 namespace barrowrun::api {
 using net::http::verb;
@@ -11,17 +11,17 @@
 
 namespace {
 // Final states that a node remembers.
-constexpr std::size_t kept_final_states = 20'000;
+constexpr std::size_t max_final_states = 20'000;
 }  // namespace
 
-Task<Node::Look> Node::look_up(std::string id) {
-    Look look;
-    if (auto it = finished_.find(id); it != finished_.end()) {
-        look.known_outcome = true;
-        look.status = it->second;
-        co_return look;
+Task<Node::JobLookup> Node::look_up_job(std::string id) {
+    JobLookup lookup;
+    if (auto it = final_states_.find(id); it != final_states_.end()) {
+        lookup.conclusive = true;
+        lookup.status = it->second;
+        co_return lookup;
     }
-    if (!co_await state_.admit_lookup()) co_return look;
+    if (!co_await state_.admit_lookup()) co_return lookup;
     auto get = [this](std::string key) {
         return state_.get(std::move(key), 1500ms, state::Throttle::admitted_lookup);
     };
@@ -29,42 +29,43 @@
     auto job = co_await get(state::job_key(id));
     if (job.outcome == Outcome::ok) {
         auto record = state::parse_job_record(job.value);
-        if (!record) co_return look;
+        if (!record) co_return lookup;
         auto progress = co_await get(state::progress_key(id));
         if (progress.outcome == Outcome::ok) {
             auto p = state::parse_progress(progress.value, record->spec.tasks);
-            if (!p) co_return look;
-            look.known_outcome = true;
+            if (!p) co_return lookup;
+            lookup.conclusive = true;
             auto job_state = p->failed                              ? wire::JobState::failed
                              : p->cancelled                         ? wire::JobState::cancelled
                              : p->done.size() == record->spec.tasks ? wire::JobState::done
                              : p->done.empty()                      ? wire::JobState::queued
                                                                     : wire::JobState::running;
-            look.status = wire::JobStatus{id, job_state, p->done.size(), 0, p->total};
-            co_return look;
+            lookup.status = wire::JobStatus{id, job_state, p->done.size(), 0, p->total};
+            co_return lookup;
         }
-        if (progress.outcome != Outcome::absent) co_return look;
+        if (progress.outcome != Outcome::absent) co_return lookup;
         // No progress yet, or the job has just moved on: only past/ tells.
     } else if (job.outcome != Outcome::absent) {
-        co_return look;
+        co_return lookup;
     }
     auto past = co_await get(state::finished_key(id));
     if (past.outcome == Outcome::ok) {
         auto p = state::parse_finished_record(past.value);
-        if (!p) co_return look;
-        look.known_outcome = true;
-        look.status = wire::JobStatus{id, p->state, p->done, 0, p->errors};
-        if (finished_.size() >= kept_final_states) finished_.erase(finished_.begin());
-        finished_[id] = *look.status;
-        co_return look;
+        if (!p) co_return lookup;
+        lookup.conclusive = true;
+        lookup.status = wire::JobStatus{id, p->state, p->done, 0, p->errors};
+        if (final_states_.size() >= max_final_states) final_states_.erase(final_states_.begin());
+        final_states_[id] = *lookup.status;
+        co_return lookup;
     }
-    if (past.outcome != Outcome::absent) co_return look;
-    look.known_outcome = true;
-    if (job.outcome == Outcome::ok) look.status = wire::JobStatus{id, wire::JobState::queued, 0, 0, {}};
-    co_return look;
+    if (past.outcome != Outcome::absent) co_return lookup;
+    lookup.conclusive = true;
+    if (job.outcome == Outcome::ok) lookup.status = wire::JobStatus{id, wire::JobState::queued, 0, 0, {}};
+    co_return lookup;
 }
 
-Task<std::optional<Response>> Node::ask_leader(std::string target, Json body, Clock::duration deadline) {
+Task<std::optional<Response>> Node::forward_to_leader(std::string target, Json body,
+                                                      Clock::duration deadline) {
     auto address = election_.leader_address();
     if (!address) co_return std::nullopt;
     auto reply = co_await peers_.call(*address, verb::post, std::move(target), std::move(body), deadline);
@@ -73,31 +74,31 @@
 }
 
 Task<Response> Node::status(std::string id) {
-    if (!wire::valid_job_id(id)) co_return problem(404, "no such job");
-    if (auto kept = leader_; leader()) {
-        auto s = kept->status(id);
+    if (!wire::valid_job_id(id)) co_return error_response(404, "no such job");
+    if (auto term = leader_; acting_leader()) {
+        auto s = term->status(id);
         // The right to lead is checked after the look: an answer from memory is only good while it holds.
-        if (s && kept->may_act()) co_return Response{200, wire::status_json(*s)};
-    } else if (!finished_.contains(id)) {
-        auto answer = co_await ask_leader("/peer/status", id_body(id), 600ms);
+        if (s && term->may_act()) co_return Response{200, wire::status_json(*s)};
+    } else if (!final_states_.contains(id)) {
+        auto answer = co_await forward_to_leader("/peer/status", job_id_body(id), 600ms);
         if (answer && answer->status == 200) co_return std::move(*answer);
     }
-    auto look = co_await look_up(id);
-    if (!look.known_outcome) co_return problem(503, "the state service does not answer", 1);
-    if (!look.status) co_return problem(404, "no such job");
-    co_return Response{200, wire::status_json(*look.status)};
+    auto lookup = co_await look_up_job(id);
+    if (!lookup.conclusive) co_return error_response(503, "the state service does not answer", 1);
+    if (!lookup.status) co_return error_response(404, "no such job");
+    co_return Response{200, wire::status_json(*lookup.status)};
 }
 
 Task<Response> Node::cancel(std::string id, bool from_peer) {
-    if (!wire::valid_job_id(id)) co_return problem(404, "no such job");
-    if (auto kept = leader_; leader()) co_return co_await kept->cancel(id);
-    if (auto it = finished_.find(id); it != finished_.end())
+    if (!wire::valid_job_id(id)) co_return error_response(404, "no such job");
+    if (auto term = leader_; acting_leader()) co_return co_await term->cancel(id);
+    if (auto it = final_states_.find(id); it != final_states_.end())
         co_return Response{200, wire::accepted_json(id, it->second.state)};
     if (!from_peer) {
-        auto answer = co_await ask_leader("/peer/cancel", id_body(id), 3500ms);
+        auto answer = co_await forward_to_leader("/peer/cancel", job_id_body(id), 3500ms);
         if (answer) co_return std::move(*answer);
     }
-    co_return problem(503, "no leader can be reached", 1);
+    co_return error_response(503, "no leader can be reached", 1);
 }
 
 }  // namespace barrowrun::api
--- a/src/api/leader.cpp
+++ b/src/api/leader.cpp
@@ -12,11 +12,11 @@
     : services_(services),
       cluster_(services.settings.placement),
       duties_(services.io),
-      place_wake_(services.io),
-      write_wake_(services.io),
+      placement_signal_(services.io),
+      write_signal_(services.io),
       acquired_(acquired),
       failure_detector_({secs(services.settings.placement.heartbeat_s),
-                         secs(services.settings.placement.lease_s), asked_at_once}),
+                         secs(services.settings.placement.lease_s), max_concurrent_probes}),
       reachability_(secs(services.settings.placement.heartbeat_s), acquired),
       renewal_period_(
           leases::renewal_period(services.settings.placement.lease_s, services.settings.placement.cancel_s)),
@@ -29,7 +29,7 @@
         *services_.settings.cells,
         Cells::Host{
             cluster_, services_.state, services_.peers, [this] { return may_act(); },
-            [this] { write_wake_.wake(); }, [this] { place_wake_.wake(); },
+            [this] { write_signal_.wake(); }, [this] { placement_signal_.wake(); },
             [this](std::string name, Task<> duty) { spawn(std::move(name), std::move(duty)); },
             services_.settings.max_clock_error,
             std::chrono::ceil<std::chrono::milliseconds>(longer(secs(services_.settings.placement.cancel_s))),
@@ -37,20 +37,21 @@
 }
 
 std::optional<leases::RenewalGrant> Leader::grant() const {
-    if (!loaded_ || services_.settings.lease_renewal_period() <= Clock::duration::zero()) return std::nullopt;
+    if (!recovered_ || services_.settings.lease_renewal_period() <= Clock::duration::zero())
+        return std::nullopt;
     return leases::RenewalGrant{services_.election.fencing_token(), renewal_bound_.timestamp_ms(Clock::now()),
                                 false, cluster_.machines_with_cancelled_tasks()};
 }
 
-std::optional<leases::RenewalGrant> Leader::heard(const std::string& node,
-                                                  const leases::Heartbeat& heartbeat) {
+std::optional<leases::RenewalGrant> Leader::node_heartbeat(const std::string& node,
+                                                           const leases::Heartbeat& heartbeat) {
     auto out = grant();
     renewal_bound_.heard(node, heartbeat, Clock::now(), out.has_value());
     return out;
 }
 
 void Leader::start() {
-    spawn("load", load());
+    spawn("recovery", recover());
 }
 
 void Leader::stop() {
@@ -60,37 +61,37 @@
 
 // ---- jobs ----------------------------------------------------------------------------------------------
 
-void Leader::add(const state::JobRecord& record) {
+void Leader::add_job(const state::JobRecord& record) {
     // A job that this term saw end must not come back by a notice that was under way.
     if (cluster_.find_job(record.spec.id) || cluster_.finished_job(record.spec.id)) return;
     auto now = Clock::now();
     cluster_.add_job(record, nullptr, now, wall_ms());
     autoscaler_.note_arrival(record.spec, now);
-    place_wake_.wake();
+    placement_signal_.wake();
 }
 
-void Leader::accepted_here(const state::JobRecord& record) {
-    if (loaded_) add(record);
+void Leader::job_accepted_locally(const state::JobRecord& record) {
+    if (recovered_) add_job(record);
 }
 
-Task<> Leader::accepted(std::string id) {
+Task<> Leader::job_accepted(std::string id) {
     auto self = shared_from_this();
-    if (!loaded_ || cluster_.find_job(id) || cluster_.finished_job(id)) co_return;
+    if (!recovered_ || cluster_.find_job(id) || cluster_.finished_job(id)) co_return;
     // The notice may be old: the record tells whether the job is still active.
     auto value = co_await services_.state.get(state::job_key(id));
     if (value.outcome != Outcome::ok || stopped_) co_return;
-    if (auto record = state::parse_job_record(value.value)) add(*record);
+    if (auto record = state::parse_job_record(value.value)) add_job(*record);
 }
 
 Task<> Leader::watch_jobs() {
-    auto since = watch_from_;
+    auto since = watch_revision_;
     for (;;) {
         auto result = co_await services_.state.watch("jobs/", since, 10s);
         if (result.ok) {
             since = result.revision;
             for (auto& e : result.events)
                 if (e.value)
-                    if (auto record = state::parse_job_record(*e.value)) add(*record);
+                    if (auto record = state::parse_job_record(*e.value)) add_job(*record);
             continue;
         }
         if (result.too_old) {
@@ -98,7 +99,7 @@
             if (all.ok) {
                 since = all.revision;
                 for (auto& item : all.items)
-                    if (auto record = state::parse_job_record(item.value)) add(*record);
+                    if (auto record = state::parse_job_record(item.value)) add_job(*record);
                 continue;
             }
         }
@@ -107,7 +108,7 @@
 }
 
 std::optional<wire::JobStatus> Leader::status(const std::string& id) const {
-    if (!loaded_) return std::nullopt;
+    if (!recovered_) return std::nullopt;
     if (auto it = cluster_.jobs().find(id); it != cluster_.jobs().end()) {
         auto& job = *it->second;
         if (job.write_outcome_unknown()) return std::nullopt;
@@ -121,11 +122,11 @@
 Task<Response> Leader::cancel(std::string id) {
     auto self = shared_from_this();
     const Response later{503, {{"error", "not now"}}, 1};
-    if (!loaded_ || !may_act()) co_return later;
+    if (!recovered_ || !may_act()) co_return later;
     if (!cluster_.find_job(id) && !cluster_.finished_job(id)) {
         auto record = co_await services_.state.get(state::job_key(id));
         if (record.outcome == Outcome::ok) {
-            if (auto parsed = state::parse_job_record(record.value)) add(*parsed);
+            if (auto parsed = state::parse_job_record(record.value)) add_job(*parsed);
         } else if (record.outcome == Outcome::absent) {
             auto past = co_await services_.state.get(state::finished_key(id));
             if (past.outcome == Outcome::ok) {
@@ -155,8 +156,8 @@
         if (!asked && !job->finished()) {
             spdlog::info("job {} is cancelled", id);
             cluster_.cancel(*job, Clock::now());
-            write_wake_.wake();
-            send_touched();
+            write_signal_.wake();
+            dispatch_pending_commands();
         }
         asked = true;
         co_await net::sleep_for(10ms);
@@ -166,9 +167,9 @@
 
 // ---- duties --------------------------------------------------------------------------------------------
 
-Task<> Leader::place_loop() {
+Task<> Leader::placement_loop() {
     for (;;) {
-        co_await place_wake_.wait(500ms);
+        co_await placement_signal_.wait(500ms);
         if (!may_act()) {
             co_await net::sleep_for(50ms);
             continue;
@@ -176,8 +177,8 @@
         if (Clock::now() - acquired_ < 150ms) co_await net::sleep_for(100ms);
         if (cells_) cells_->stop_in_time();
         cluster_.schedule_round(Clock::now());
-        if (cluster_.has_writes()) write_wake_.wake();
-        send_touched();
+        if (cluster_.has_writes()) write_signal_.wake();
+        dispatch_pending_commands();
         // What comes in close together is placed in one round, and written in one transaction.
         co_await net::sleep_for(8ms);
     }
@@ -187,7 +188,7 @@
     const auto ops = std::max<std::size_t>(4, services_.settings.placement.txn_ops);
     TimePoint last_lazy{};
     for (;;) {
-        if (!cluster_.has_writes()) co_await write_wake_.wait(1s);
+        if (!cluster_.has_writes()) co_await write_signal_.wait(1s);
         if (!cluster_.has_writes()) continue;
         // Starts go at once. What running jobs have done is written a few times a second, and takes a quarter
         // of the state service's rate at most: with many jobs it once filled every transaction, and starts
@@ -198,7 +199,7 @@
             return Clock::now() - last_lazy >= std::max<Clock::duration>(250ms, spread);
         };
         if (!cluster_.has_urgent_writes() && !progress_due()) {
-            co_await write_wake_.wait(60ms);
+            co_await write_signal_.wait(60ms);
             if (!cluster_.has_urgent_writes() && !progress_due()) continue;
         }
         if (!may_act()) {
@@ -217,8 +218,8 @@
         if (result.outcome == Outcome::ok) {
             for (auto& w : writes)
                 if (w.durable) w.durable();
-            place_wake_.wake();
-            send_touched();
+            placement_signal_.wake();
+            dispatch_pending_commands();
             continue;
         }
         cluster_.write_failed(std::move(writes), result.outcome == Outcome::unknown);
@@ -242,7 +243,7 @@
         for (auto& [name, m] : cluster_.machines()) {
             bool late = false;
             for (auto& [a, e] : m->assignments) late |= e.launch_unanswered;
-            if (late && !m->address.empty()) spawn("fence " + name, push(name, true));
+            if (late && !m->address.empty()) spawn("fence " + name, dispatch(name, true));
         }
     }
     co_await net::sleep_for(4s);
@@ -257,12 +258,12 @@
         if (now - due > 250ms) {
             // What came in meanwhile stands in its sockets: it is read in about the time that was lost.
             auto until = now + 500ms + 2 * (now - due);
-            if (behind_until_ < now)
+            if (lagging_until_ < now)
                 spdlog::info(
                     "this process is {:.1f} s behind: silence of machines counts for nothing for a while",
                     Seconds(now - due).count());
-            behind_until_ = std::max(behind_until_, until);
-            failure_detector_.suspend_until(behind_until_);
+            lagging_until_ = std::max(lagging_until_, until);
+            failure_detector_.suspend_until(lagging_until_);
         }
         if (!may_act()) continue;
         cluster_.lead(services_.election.fencing_token(), acquired_);
@@ -277,19 +278,19 @@
             up += m->up;
             any_up |= m->up || !m->assignments.empty();
             if (!m->up && !m->address.empty() && now - m->probed > 2s && m->assignments.size() > 0) {
-                if (++asked > asked_at_once) continue;
+                if (++asked > max_concurrent_probes) continue;
                 m->probed = now;
-                spawn("fence " + name, push(name, true));
+                spawn("fence " + name, dispatch(name, true));
             } else if (m->up && !m->push_reachable && !m->probing && now - m->probed > 3s) {
-                if (++asked > asked_at_once) continue;
+                if (++asked > max_concurrent_probes) continue;
                 m->probed = now;
-                ask(*m);
+                start_probe(*m);
             }
         }
         auto verdict = failure_detector_.evaluate(
             cluster_.machines(), now, acquired_, [this](auto& m) { return cluster_.runs_service(m); },
             now - services_.state.last_response() <= 1500ms);
-        for (auto* m : verdict.probe) ask(*m);
+        for (auto* m : verdict.probe) start_probe(*m);
         if (!verdict.declare_failed.empty()) {
             std::vector<std::string> gone;
             for (auto* m : verdict.declare_failed) {
@@ -298,33 +299,33 @@
                 failure_detector_.note_declared_failed(now);
                 gone.push_back(m->name);
             }
-            spawn("return", give_back(std::move(gone), true));
+            spawn("return", deprovision(std::move(gone), true));
         }
         // A leader that no worker reaches is of no use, whatever the state service says.
         // Nor one that workers reach only by way of others: it can send them nothing, and they it late.
-        if (reachability_.cut_off(now, up) && now >= behind_until_ && now - acquired_ > 8s &&
+        if (reachability_.cut_off(now, up) && now >= lagging_until_ && now - acquired_ > 8s &&
             services_.state.responsive(now)) {
             // Their heartbeats may come by way of others for another reason: whether the ways are open is
             // asked, and any answer counts as contact.
-            if (now - ways_asked_ > 5s) {
-                ways_asked_ = now;
+            if (now - reachability_probed_ > 5s) {
+                reachability_probed_ = now;
                 int few = 8;
                 for (auto& [name, m] : cluster_.machines()) {
                     if (!m->up || m->probing || m->address.empty()) continue;
                     if (few-- == 0) break;
-                    ask(*m);
+                    start_probe(*m);
                 }
-            } else if (now - ways_asked_ > 1500ms) {
+            } else if (now - reachability_probed_ > 1500ms) {
                 spdlog::warn(
                     "no worker reaches this leader or answers it, but others forward their heartbeats");
                 services_.election.step_down(15s);
                 co_return;
             }
         }
-        if (any_up && now - last_hello_ > secs(std::max(4.0, 2 * rules.heartbeat_s + 2)) &&
+        if (any_up && now - last_worker_heartbeat_ > secs(std::max(4.0, 2 * rules.heartbeat_s + 2)) &&
             now - acquired_ > 8s && services_.state.responsive(now)) {
             spdlog::warn("no worker has reached this leader for {:.1f} s",
-                         Seconds(now - last_hello_).count());
+                         Seconds(now - last_worker_heartbeat_).count());
             services_.election.step_down(15s);
             co_return;
         }
@@ -333,17 +334,17 @@
             refreshing_fencing_token_ = true;
             spawn("renew token", refresh_fencing_token());
         }
-        if (now - served_looked_ > 5s) {
-            served_looked_ = now;
-            say_served(now);
+        if (now - starvation_checked_ > 5s) {
+            starvation_checked_ = now;
+            log_starvation(now);
         }
-        if (moved) place_wake_.wake();
-        if (cluster_.has_writes()) write_wake_.wake();
-        send_touched();
+        if (moved) placement_signal_.wake();
+        if (cluster_.has_writes()) write_signal_.wake();
+        dispatch_pending_commands();
     }
 }
 
-void Leader::say_served(TimePoint now) {
+void Leader::log_starvation(TimePoint now) {
     using State = placement::StarvationMonitor::State;
     for (auto& line : cluster_.check_starvation(now)) {
         if (line.state == State::healthy)
--- a/src/api/node.cpp
+++ b/src/api/node.cpp
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include "api/answers.hpp"
+#include "api/responses.hpp"
 
 namespace barrowrun::api {
 using net::http::verb;
@@ -41,7 +41,7 @@
     election_.heartbeat = [this] {
         auto now = Clock::now();
         // A leader's right at this moment is its contact: a successor's time begins later.
-        if (auto* l = leader())
+        if (auto* l = acting_leader())
             if (auto grant = l->grant()) renewer_.leads(now, std::move(*grant));
         return leases::to_json(renewer_.heartbeat(now));
     };
@@ -84,10 +84,10 @@
                         ended("the peer server"));
     net::asio::co_spawn(io_, election_.run(), ended("the election"));
     net::asio::co_spawn(io_, election_.send_heartbeats(), ended("the pings"));
-    net::asio::co_spawn(io_, keep_catalog(), ended("the catalog"));
+    net::asio::co_spawn(io_, load_catalog(), ended("the catalog"));
 }
 
-Task<> Node::keep_catalog() {
+Task<> Node::load_catalog() {
     // A leader asks the cloud; the others read what it found.
     while (catalog_.empty()) {
         auto value = co_await state_.get(state::catalog_key);
@@ -107,43 +107,43 @@
     const std::string prefix = "/submissions";
     std::string target = request.target.substr(0, request.target.find('?'));
     const bool get = request.method == verb::get, post = request.method == verb::post;
-    if (target == "/healthz") co_return get ? health() : problem(405, "use GET");
+    if (target == "/healthz") co_return get ? health() : error_response(405, "use GET");
     if (target == "/hello") {
-        if (!post) co_return problem(405, "use POST");
-        co_return co_await hello(std::move(request.body));
+        if (!post) co_return error_response(405, "use POST");
+        co_return co_await worker_heartbeat(std::move(request.body));
     }
     if (target == "/quota") {
-        if (!get && !post) co_return problem(405, "use GET or POST");
+        if (!get && !post) co_return error_response(405, "use GET or POST");
         Json body = Json::object();
         if (post) {
             auto decoded = wire::decode(request.body);
             if (!decoded || !decoded->is_object())
-                co_return problem(400, "the body is not a MessagePack map");
+                co_return error_response(400, "the body is not a MessagePack map");
             body = std::move(*decoded);
         }
-        co_return co_await quotas(request.target, post, std::move(body), false);
+        co_return co_await quota_request(request.target, post, std::move(body), false);
     }
     if (target == prefix) {
-        if (!post) co_return problem(405, "use POST");
+        if (!post) co_return error_response(405, "use POST");
         co_return co_await submit(std::move(request.body));
     }
     if (target.starts_with(prefix + "/")) {
         std::string rest = target.substr(prefix.size() + 1);
         auto slash = rest.find('/');
         if (slash == std::string::npos) {
-            if (!get) co_return problem(405, "use GET");
+            if (!get) co_return error_response(405, "use GET");
             co_return co_await status(rest);
         }
         if (rest.substr(slash) == "/explain") {
-            if (!get) co_return problem(405, "use GET");
+            if (!get) co_return error_response(405, "use GET");
             co_return co_await explain(rest.substr(0, slash), false);
         }
         if (rest.substr(slash) == "/cancel") {
-            if (!post) co_return problem(405, "use POST");
+            if (!post) co_return error_response(405, "use POST");
             co_return co_await cancel(rest.substr(0, slash), false);
         }
     }
-    co_return problem(404, "no such path");
+    co_return error_response(404, "no such path");
 }
 
 Response Node::health() {
@@ -159,7 +159,7 @@
         spdlog::info(ready ? "ready for users again"
                            : "not ready for users: the state service refuses this node alone");
     ready_ = ready;
-    return ready ? Response{} : problem(503, "the state service refuses this node");
+    return ready ? Response{} : error_response(503, "the state service refuses this node");
 }
 
 }  // namespace barrowrun::api
--- a/src/api/node_operators.cpp
+++ b/src/api/operator_requests.cpp
@@ -1,8 +1,8 @@
 // What operators ask: quotas, and why a job waits. Only the leader can answer.
 #include <charconv>
 
-#include "api/answers.hpp"
 #include "api/node.hpp"
+#include "api/responses.hpp"
 
 namespace barrowrun::api {
 using namespace std::chrono_literals;
@@ -24,64 +24,65 @@
 }
 }  // namespace
 
-Task<Response> Node::quotas(std::string target, bool change, Json body, bool from_peer) {
+Task<Response> Node::quota_request(std::string target, bool change, Json body, bool from_peer) {
     if (change && !from_peer) {
         if (settings_.operator_key.empty())
-            co_return problem(403, "no operator_key is set: quotas can't be changed here");
-        if (!same_secret(wire::text(body, "key").value_or(""), settings_.operator_key))
-            co_return problem(403, "the operator key is not the one that is set");
+            co_return error_response(403, "no operator_key is set: quotas can't be changed here");
+        if (!equal_in_constant_time(wire::text(body, "key").value_or(""), settings_.operator_key))
+            co_return error_response(403, "the operator key is not the one that is set");
         body.erase("key");
     }
-    if (auto kept = leader_; leader()) {
-        if (change) co_return co_await kept->change_quotas(std::move(body));
-        auto answer = kept->quota_page(query_number(target, "since"), query_number(target, "page"));
-        if (kept->may_act()) co_return answer;
+    if (auto term = leader_; acting_leader()) {
+        if (change) co_return co_await term->change_quotas(std::move(body));
+        auto answer = term->quota_page(query_number(target, "since"), query_number(target, "page"));
+        if (term->may_act()) co_return answer;
     } else if (!from_peer) {
         Json ask{{"target", target}};
         if (change) ask["change"] = std::move(body);
         // A change waits for the state service; without an answer it may have been made.
         const Clock::duration patience = change ? 4500ms : 1500ms;
-        auto answer = co_await ask_leader("/peer/quota", std::move(ask), patience);
+        auto answer = co_await forward_to_leader("/peer/quota", std::move(ask), patience);
         if (answer) co_return std::move(*answer);
     }
-    co_return problem(503, "no leader can be reached", 1);
+    co_return error_response(503, "no leader can be reached", 1);
 }
 
 Task<Response> Node::explain(std::string id, bool from_peer) {
-    if (!wire::valid_job_id(id)) co_return problem(404, "no such job");
-    if (auto kept = leader_; leader()) {
-        auto answer = kept->explain(id);
-        if (answer && kept->may_act()) co_return Response{200, std::move(*answer)};
+    if (!wire::valid_job_id(id)) co_return error_response(404, "no such job");
+    if (auto term = leader_; acting_leader()) {
+        auto answer = term->explain(id);
+        if (answer && term->may_act()) co_return Response{200, std::move(*answer)};
     } else if (!from_peer) {
-        if (auto answer = co_await ask_leader("/peer/explain", id_body(id), 1000ms))
+        if (auto answer = co_await forward_to_leader("/peer/explain", job_id_body(id), 1000ms))
             co_return std::move(*answer);
     }
-    if (from_peer) co_return problem(503, "not known here");
+    if (from_peer) co_return error_response(503, "not known here");
     // Over, unknown, or nobody leads: its state is all there is to say.
     co_return co_await status(id);
 }
 
 Task<std::optional<std::string>> Node::check_project(const wire::JobSpec& spec) {
     if (spec.project.empty()) co_return std::nullopt;
-    const std::string refusal = "unknown project '" + spec.project + "' of team " + spec.team;
-    if (!settings_.placement.quotas) co_return refusal + ": quotas are not switched on";
-    if (auto kept = leader_; leader() && kept->loaded()) {
-        if (kept->quota_tree().find_project(spec.team, spec.project)) co_return std::nullopt;
-        co_return refusal;
+    const std::string rejection = "unknown project '" + spec.project + "' of team " + spec.team;
+    if (!settings_.placement.quotas) co_return rejection + ": quotas are not switched on";
+    if (auto term = leader_; acting_leader() && term->recovered()) {
+        if (term->quota_tree().find_project(spec.team, spec.project)) co_return std::nullopt;
+        co_return rejection;
     }
-    if (known_quotas_ && known_quotas_->find_project(spec.team, spec.project)) co_return std::nullopt;
+    if (cached_quota_tree_ && cached_quota_tree_->find_project(spec.team, spec.project))
+        co_return std::nullopt;
     // It may have been added since: a refusal needs a fresh look. Where none can be had the job is taken, and
     // charged to the nearest node above.
     quota::VersionedQuotas book;
-    const auto outcome = co_await read_quotas(state_, settings_.placement.value_bytes, book);
-    if (outcome != QuotasRead::ok && outcome != QuotasRead::none) co_return std::nullopt;
+    const auto outcome = co_await read_quota_records(state_, settings_.placement.value_bytes, book);
+    if (outcome != QuotaReadStatus::ok && outcome != QuotaReadStatus::none) co_return std::nullopt;
     auto lines = *settings_.placement.quotas;
-    if (outcome == QuotasRead::ok) lines = book.entries();
+    if (outcome == QuotaReadStatus::ok) lines = book.entries();
     auto built = quota::Tree::build(std::move(lines), placement::quota_teams(settings_.placement.teams));
     if (!built.tree) co_return std::nullopt;
-    known_quotas_ = built.tree;
-    if (known_quotas_->find_project(spec.team, spec.project)) co_return std::nullopt;
-    co_return refusal;
+    cached_quota_tree_ = built.tree;
+    if (cached_quota_tree_->find_project(spec.team, spec.project)) co_return std::nullopt;
+    co_return rejection;
 }
 
 }  // namespace barrowrun::api
--- a/src/api/node_peers.cpp
+++ b/src/api/peer_routes.cpp
@@ -1,6 +1,6 @@
 // What other nodes ask of this one, of its own cell and of others.
-#include "api/answers.hpp"
 #include "api/node.hpp"
+#include "api/responses.hpp"
 
 namespace barrowrun::api {
 using net::http::verb;
@@ -8,17 +8,17 @@
 
 Task<Response> Node::peer_route(net::Request request) {
     auto body = wire::decode(request.body);
-    if (request.method != verb::post || !body) co_return problem(400, "malformed");
+    if (request.method != verb::post || !body) co_return error_response(400, "malformed");
     const std::string& target = request.target;
     if (target == "/peer/ping") {
-        bool leads = leader() != nullptr;
+        bool leads = acting_leader() != nullptr;
         Json answer{{"state_ok", state_.responsive(Clock::now())},
                     {"leading", leads},
                     {"elected", election_.elected()}};
         answer["waiting"] = leads ? leader_->waiting() : 0;
         if (const Json* value = wire::find(*body, "leases"); value && leads)
             if (auto heartbeat = leases::parse_heartbeat(*value))
-                if (auto grant = leader_->heard(wire::text(*body, "from").value_or(""), *heartbeat))
+                if (auto grant = leader_->node_heartbeat(wire::text(*body, "from").value_or(""), *heartbeat))
                     answer["leases"] = leases::to_json(*grant);
         if (auto* cells = leads ? leader_->cells() : nullptr; cells && wire::find(*body, "cell"))
             answer["digest"] = cells->digest();
@@ -29,10 +29,10 @@
         part && (target == "/peer/submit" || target == "/peer/cancel")) {
         auto asked = cells::parse_request(*part);
         if (!asked || asked->spec.has_value() != (target == "/peer/submit"))
-            co_return problem(400, "malformed");
-        auto kept = leader_;
-        auto* cells = leader() ? kept->cells() : nullptr;
-        if (!cells) co_return problem(503, "not entitled to act");
+            co_return error_response(400, "malformed");
+        auto term = leader_;
+        auto* cells = acting_leader() ? term->cells() : nullptr;
+        if (!cells) co_return error_response(503, "not entitled to act");
         co_return co_await cells->asked(std::move(*asked));
     }
     if (target == "/peer/abstain") {
@@ -44,24 +44,24 @@
     }
     if (target == "/peer/hello") {
         auto heartbeat = wire::parse_worker_heartbeat(*body);
-        if (!heartbeat) co_return problem(400, "malformed");
-        auto kept = leader_;
-        if (!leader()) co_return problem(503, "not entitled to act");
-        co_return co_await kept->hello(std::move(*heartbeat), false);
+        if (!heartbeat) co_return error_response(400, "malformed");
+        auto term = leader_;
+        if (!acting_leader()) co_return error_response(503, "not entitled to act");
+        co_return co_await term->worker_heartbeat(std::move(*heartbeat), false);
     }
     if (target == "/peer/status" || target == "/peer/cancel" || target == "/peer/accepted") {
         auto id = wire::text(*body, "id").value_or("");
-        if (!wire::valid_job_id(id)) co_return problem(400, "malformed");
-        auto kept = leader_;
-        if (!leader()) co_return problem(503, "not entitled to act");
-        if (target == "/peer/cancel") co_return co_await kept->cancel(id);
+        if (!wire::valid_job_id(id)) co_return error_response(400, "malformed");
+        auto term = leader_;
+        if (!acting_leader()) co_return error_response(503, "not entitled to act");
+        if (target == "/peer/cancel") co_return co_await term->cancel(id);
         if (target == "/peer/accepted") {
-            co_await kept->accepted(id);
+            co_await term->job_accepted(id);
             co_return Response{};
         }
         // Nothing: the asking node reads the state service itself.
-        auto s = kept->status(id);
-        if (!s || !kept->may_act()) co_return problem(503, "not known here");
+        auto s = term->status(id);
+        if (!s || !term->may_act()) co_return error_response(503, "not known here");
         co_return Response{200, wire::status_json(*s)};
     }
     if (target == "/peer/quota") {
@@ -71,7 +71,7 @@
         Json change = Json::object();
         const Json* given = wire::find(*body, "change");
         if (given) change = *given;
-        co_return co_await quotas(std::move(query), given != nullptr, std::move(change), true);
+        co_return co_await quota_request(std::move(query), given != nullptr, std::move(change), true);
     }
     if (target == "/peer/explain") {
         auto id = wire::text(*body, "id").value_or("");
@@ -79,10 +79,10 @@
     }
     if (target == "/peer/submit") {
         auto spec = wire::parse_submission(*body);
-        if (!std::holds_alternative<wire::JobSpec>(spec)) co_return problem(400, "malformed");
+        if (!std::holds_alternative<wire::JobSpec>(spec)) co_return error_response(400, "malformed");
         co_return co_await submit_job(std::get<wire::JobSpec>(std::move(spec)), true);
     }
-    co_return problem(404, "no such path");
+    co_return error_response(404, "no such path");
 }
 
 }  // namespace barrowrun::api
--- a/src/api/cloud.cpp
+++ b/src/api/provisioner.cpp
@@ -7,7 +7,7 @@
 using state::Outcome;
 using namespace std::chrono_literals;
 
-Task<> Leader::cloud_types() {
+Task<> Leader::refresh_machine_types() {
     std::string stored;
     for (;;) {
         auto types = co_await services_.cloud.types();
@@ -17,20 +17,20 @@
         }
         services_.catalog = *types;
         cluster_.set_types(*types);
-        place_wake_.wake();
+        placement_signal_.wake();
         auto still = *types;
         for (auto& t : still) t.spot_price = 0;
         auto text = wire::types_json(still).dump();
         if (text != stored) {
             stored = text;
             cluster_.enqueue({state::catalog_key, wire::types_json(*types), {}});
-            write_wake_.wake();
+            write_signal_.wake();
         }
         co_await net::sleep_for(30s);
     }
 }
 
-Task<> Leader::cloud_list() {
+Task<> Leader::reconcile_cloud_machines() {
     for (;;) {
         auto list = co_await services_.cloud.list();
         auto now = Clock::now();
@@ -59,13 +59,13 @@
                     cluster_.mark_machine_changed(l.name);
                 }
             }
-            if (!failed.empty()) spawn("return failed", give_back(failed, false));
+            if (!failed.empty()) spawn("return failed", deprovision(failed, false));
         }
         co_await net::sleep_for(secs(std::max(3.0, 2.5 / services_.settings.cloud_requests_per_s)));
     }
 }
 
-Task<> Leader::cloud_rent() {
+Task<> Leader::scaling_loop() {
     co_await net::sleep_for(1500ms);
     for (;;) {
         co_await net::sleep_for(700ms);
@@ -84,7 +84,7 @@
         }
         if (!idle.empty()) {
             spdlog::info("{} idle machines are returned, {} first", idle.size(), idle.front());
-            spawn("return idle", give_back(idle, false));
+            spawn("return idle", deprovision(idle, false));
         }
         if (auto* m = cluster_.find_machine(plan.drain)) {
             spdlog::info("machine {} is emptied: its {} replicas have room elsewhere", m->name, m->live());
@@ -103,14 +103,14 @@
             cluster_.enqueue(
                 {state::provisioning_key(request), state::to_json(record), [self, request, record] {
                      if (!self->stopped_)
-                         self->spawn("rent " + request, self->rent_one(request, record, false));
+                         self->spawn("rent " + request, self->provision(request, record, false));
                  }});
         }
-        write_wake_.wake();
+        write_signal_.wake();
     }
 }
 
-Task<> Leader::rent_one(std::string request, state::ProvisioningRecord record, bool asked) {
+Task<> Leader::provision(std::string request, state::ProvisioningRecord record, bool asked) {
     autoscaler::Offer offer{record.type, record.zone, record.spot};
     for (;;) {
         co_await services_.cloud.wait_for_rate_budget();
@@ -152,10 +152,10 @@
     }
     open_requests_.erase(request);
     cluster_.enqueue({state::provisioning_key(request), std::nullopt, {}});
-    write_wake_.wake();
+    write_signal_.wake();
 }
 
-Task<> Leader::give_back(std::vector<std::string> names, bool proof) {
+Task<> Leader::deprovision(std::vector<std::string> names, bool proof) {
     while (!names.empty()) {
         std::vector<std::string> part(
             names.begin(), names.begin() + static_cast<long>(std::min<std::size_t>(100, names.size())));
@@ -164,8 +164,8 @@
                 cluster_.machine_gone(name, proof ? "returned, to prove it empty" : "returned", Clock::now());
             }
             names.erase(names.begin(), names.begin() + static_cast<long>(part.size()));
-            place_wake_.wake();
-            write_wake_.wake();
+            placement_signal_.wake();
+            write_signal_.wake();
             continue;
         }
         co_await net::sleep_for(1s);
--- a/src/api/quotas.cpp
+++ b/src/api/quota_service.cpp
@@ -1,9 +1,9 @@
-#include "api/quotas.hpp"
+#include "api/quota_service.hpp"
 
 #include <spdlog/spdlog.h>
 
-#include "api/answers.hpp"
 #include "api/leader.hpp"
+#include "api/responses.hpp"
 
 namespace barrowrun::api {
 using quota::VersionedQuotas;
@@ -12,10 +12,10 @@
 
 namespace {
 // Bodies of users are bounded by 64 KiB.
-constexpr std::size_t most_page = 150;
-constexpr std::size_t most_write = 48 * 1024;
+constexpr std::size_t max_page_nodes = 150;
+constexpr std::size_t max_transaction_bytes = 48 * 1024;
 
-Json bounds(const wire::Resources& r) {
+Json bounds_json(const wire::Resources& r) {
     Json out = Json::object();
     for (std::size_t d = 0; d < std::size(quota::dimensions); ++d)
         if (const double x = r.*quota::dimensions[d]; x != 0 && x < quota::no_limit)
@@ -23,7 +23,7 @@
     return out;
 }
 
-Json bounds(const quota::Bounds& b) {
+Json bounds_json(const quota::Bounds& b) {
     Json out = Json::object();
     for (std::size_t d = 0; d < std::size(quota::bound_fields); ++d)
         if (auto v = b.*quota::bound_fields[d]) out[quota::dimension_names[d]] = *v;
@@ -31,41 +31,42 @@
 }
 }  // namespace
 
-bool same_secret(const std::string& given, const std::string& kept) {
+bool equal_in_constant_time(const std::string& given, const std::string& kept) {
     unsigned char differ = given.size() != kept.size();
     for (std::size_t i = 0; i < kept.size(); ++i)
         differ = static_cast<unsigned char>(differ | (kept[i] ^ (i < given.size() ? given[i] : '\0')));
     return differ == 0;
 }
 
-net::Task<QuotasRead> read_quotas(state::StateClient& state, std::size_t value_bytes, VersionedQuotas& out) {
+net::Task<QuotaReadStatus> read_quota_records(state::StateClient& state, std::size_t value_bytes,
+                                              VersionedQuotas& out) {
     std::string trouble;
     for (int tries = 0; tries < 3; ++tries) {
         auto list = co_await state.list(quota::record_prefix);
-        if (!list.ok) co_return QuotasRead::no_answer;
+        if (!list.ok) co_return QuotaReadStatus::no_answer;
         std::map<std::string, Json> records;
         for (auto& item : list.items) records[item.key] = std::move(item.value);
-        if (!records.contains(quota::head_key)) co_return QuotasRead::none;
+        if (!records.contains(quota::head_key)) co_return QuotaReadStatus::none;
         auto book = VersionedQuotas::from_records(records, value_bytes);
         auto head = co_await state.get(quota::head_key);
-        if (head.outcome != Outcome::ok) co_return QuotasRead::no_answer;
+        if (head.outcome != Outcome::ok) co_return QuotaReadStatus::no_answer;
         // Changed while it was read: a slot may hold what is older or newer than the head says.
         if (head.value != records[quota::head_key]) continue;
         if (auto* b = std::get_if<VersionedQuotas>(&book)) {
             out = std::move(*b);
-            co_return QuotasRead::ok;
+            co_return QuotaReadStatus::ok;
         }
         trouble = std::get<std::string>(book);
         break;
     }
-    if (trouble.empty()) co_return QuotasRead::no_answer;
+    if (trouble.empty()) co_return QuotaReadStatus::no_answer;
     spdlog::error("the quotas on record can't be used ({})", trouble);
-    co_return QuotasRead::unusable;
+    co_return QuotaReadStatus::unusable;
 }
 
 // ---- a term's part -------------------------------------------------------------------------------------
 
-void Leader::use_quotas(VersionedQuotas book, quota::TreePtr tree) {
+void Leader::apply_quotas(VersionedQuotas book, quota::TreePtr tree) {
     // When limits were lowered is a time of day: by how much that is off, what drains has more or less
     // patience.
     auto ago = std::clamp<std::int64_t>(wall_ms() - book.changed_ms(), 0, 86'400'000);
@@ -74,22 +75,22 @@
                         quotas_.over_limit_grace_s());
 }
 
-net::Task<> Leader::load_quotas() {
+net::Task<> Leader::recover_quotas() {
     const auto& rules = services_.settings.placement;
     if (!rules.quotas) co_return;
     const auto teams = placement::quota_teams(rules.teams);
     quotas_ = VersionedQuotas(*rules.quotas, rules.value_bytes, rules.over_limit_grace_s);
     for (;;) {
         VersionedQuotas book;
-        const auto outcome = co_await read_quotas(services_.state, rules.value_bytes, book);
-        if (outcome == QuotasRead::no_answer) {
+        const auto outcome = co_await read_quota_records(services_.state, rules.value_bytes, book);
+        if (outcome == QuotaReadStatus::no_answer) {
             co_await net::sleep_for(200ms);
             continue;
         }
-        if (outcome == QuotasRead::ok) {
+        if (outcome == QuotaReadStatus::ok) {
             auto built = quota::Tree::build(book.entries(), teams, book.version());
             if (built.tree) {
-                use_quotas(std::move(book), std::move(built.tree));
+                apply_quotas(std::move(book), std::move(built.tree));
             } else {
                 // The platform's file has changed under it. Its limits and the operator's file hold.
                 for (auto& f : built.errors) spdlog::error("quotas on record: {}", f.str());
@@ -102,12 +103,12 @@
 net::Task<Response> Leader::change_quotas(Json body) {
     auto self = shared_from_this();
     const auto& rules = services_.settings.placement;
-    if (!rules.quotas) co_return problem(409, "quotas are not switched on: see deploy/quotas.json");
-    if (!loaded_ || !may_act()) co_return problem(503, "not now", 1);
+    if (!rules.quotas) co_return error_response(409, "quotas are not switched on: see deploy/quotas.json");
+    if (!recovered_ || !may_act()) co_return error_response(503, "not now", 1);
     auto parsed = quota::parse_change(body);
-    if (auto* wrong = std::get_if<std::string>(&parsed)) co_return problem(400, *wrong);
+    if (auto* wrong = std::get_if<std::string>(&parsed)) co_return error_response(400, *wrong);
     auto& change = std::get<quota::Change>(parsed);
-    if (changing_quotas_) co_return problem(503, "another change is under way", 1);
+    if (changing_quotas_) co_return error_response(503, "another change is under way", 1);
     // The same request again, since its answer was lost.
     for (auto& e : quotas_.history())
         if (!change.nonce.empty() && e.nonce == change.nonce)
@@ -140,14 +141,15 @@
             auto& w = next.writes[at];
             auto size =
                 w.value.dump(-1, ' ', false, Json::error_handler_t::replace).size() + w.key.size() + 40;
-            if (!operations.empty() && bytes + size > most_write) break;
+            if (!operations.empty() && bytes + size > max_transaction_bytes) break;
             bytes += size;
             operations.push_back({w.key, w.value, 0});
         }
         const bool last = at == next.writes.size();
         for (bool written = false; !written;) {
             if (!may_act())
-                co_return problem(503, "this node no longer leads: look whether the change was made", 1);
+                co_return error_response(503, "this node no longer leads: look whether the change was made",
+                                         1);
             std::vector<state::Precondition> preconditions{services_.election.fencing_precondition()};
             auto outcome = co_await services_.state.compare_and_swap(std::move(preconditions), operations);
             if (outcome.outcome == Outcome::ok) {
@@ -170,14 +172,15 @@
     }
     spdlog::info("quotas are at version {}: {} nodes set, {} dropped, by {} ({})", next.book.version(),
                  change.set_entries.size(), change.removed_paths.size(), change.author, change.reason);
-    use_quotas(std::move(next.book), next.tree);
-    place_wake_.wake();
-    if (!may_act()) co_return problem(503, "this node no longer leads: look whether the change was made", 1);
+    apply_quotas(std::move(next.book), next.tree);
+    placement_signal_.wake();
+    if (!may_act())
+        co_return error_response(503, "this node no longer leads: look whether the change was made", 1);
     co_return Response{200, {{"version", quotas_.version()}}};
 }
 
 Response Leader::quota_page(std::uint64_t since, std::uint64_t page) const {
-    if (!loaded_) return problem(503, "not now", 1);
+    if (!recovered_) return error_response(503, "not now", 1);
     const auto& ledger = cluster_.ledger();
     const auto& tree = ledger.tree();
     std::vector<std::uint64_t> waiting(tree.size());
@@ -190,14 +193,14 @@
     Json nodes = Json::array();
     const auto first = std::max<std::uint64_t>(since, 1);
     const auto end =
-        std::min<std::uint64_t>(tree.size(), first + std::clamp<std::uint64_t>(page, 1, most_page));
+        std::min<std::uint64_t>(tree.size(), first + std::clamp<std::uint64_t>(page, 1, max_page_nodes));
     for (auto n = first; n < end; ++n) {
         auto id = static_cast<quota::NodeId>(n);
         const auto& node = tree.node(id);
         Json line{{"path", node.path},
-                  {"limit", bounds(node.limit)},
-                  {"guarantee", bounds(node.guarantee)},
-                  {"used", bounds(ledger.used(id))},
+                  {"limit", bounds_json(node.limit)},
+                  {"guarantee", bounds_json(node.guarantee)},
+                  {"used", bounds_json(ledger.used(id))},
                   {"tasks", ledger.tasks(id)},
                   {"waiting", waiting[n]}};
         if (!node.team.empty()) line["team"] = node.team;
@@ -215,7 +218,7 @@
         Json teams = Json::array(), history = Json::array();
         for (auto& t : placement::quota_teams(services_.settings.placement.teams))
             teams.push_back(
-                {{"name", t.name}, {"limit", bounds(t.limit)}, {"guarantee", bounds(t.guarantee)}});
+                {{"name", t.name}, {"limit", bounds_json(t.limit)}, {"guarantee", bounds_json(t.guarantee)}});
         for (auto& e : quotas_.history()) history.push_back(quota::to_json(e));
         out["teams"] = std::move(teams);
         out["history"] = std::move(history);
@@ -225,7 +228,7 @@
 }
 
 std::optional<Json> Leader::explain(const std::string& id) const {
-    if (!loaded_) return std::nullopt;
+    if (!recovered_) return std::nullopt;
     auto it = cluster_.jobs().find(id);
     if (it == cluster_.jobs().end()) return std::nullopt;
     const auto& job = *it->second;
--- a/src/api/quotas.hpp
+++ b/src/api/quota_service.hpp
@@ -5,7 +5,7 @@
 
 namespace barrowrun::api {
 
-enum class QuotasRead {
+enum class QuotaReadStatus {
     ok,
     none,       // never changed while running: the operator's file holds
     unusable,   // the records can't be used, whoever reads them
@@ -13,10 +13,10 @@
 };
 
 // One version whole into `book`: pages are read before the head, and the head once more.
-net::Task<QuotasRead> read_quotas(state::StateClient& state, std::size_t value_bytes,
-                                  quota::VersionedQuotas& book);
+net::Task<QuotaReadStatus> read_quota_records(state::StateClient& state, std::size_t value_bytes,
+                                              quota::VersionedQuotas& book);
 
 // Takes as long whatever they have in common.
-bool same_secret(const std::string& given, const std::string& kept);
+bool equal_in_constant_time(const std::string& given, const std::string& kept);
 
 }  // namespace barrowrun::api
--- a/src/api/takeover.cpp
+++ b/src/api/recovery.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 using namespace std::chrono_literals;
 
-Task<> Leader::load() {
+Task<> Leader::recover() {
     auto begun = Clock::now();
     // First of all: parts of other cells' jobs may have to be gone by a moment, and until it is known
     // whether, no heartbeat is answered.
@@ -22,9 +22,9 @@
         spdlog::warn("the records could not be read, once more");
         co_await net::sleep_for(200ms);
     }
-    co_await load_quotas();
+    co_await recover_quotas();
     const auto& [jobs, progress, shards, provisioning_requests] = *read;
-    watch_from_ = jobs.revision;
+    watch_revision_ = jobs.revision;
     if (services_.catalog.empty()) {
         auto catalog = co_await services_.state.get(state::catalog_key);
         if (catalog.outcome == Outcome::ok)
@@ -36,7 +36,7 @@
     std::map<std::string, const Json*> by_job;
     for (auto& p : progress.items) by_job[p.key.substr(9)] = &p.value;
     // In slices: heartbeats are answered and the hold is extended in between. Nothing else looks at the
-    // cluster before it is whole (`loaded_`), so that nobody decides on a part of the records.
+    // cluster before it is whole (`recovered_`), so that nobody decides on a part of the records.
     net::Slices slices(slice);
     std::size_t count = 0;
     for (auto& item : jobs.items) {
@@ -75,17 +75,17 @@
         if (auto record = state::parse_provisioning_record(item.value))
             open_requests_[item.key.substr(6)] = *record;
     // Those that came in meanwhile, too, and more of them while these are applied.
-    while (!early_.empty()) {
-        auto first = early_.extract(early_.begin());
+    while (!pending_heartbeats_.empty()) {
+        auto first = pending_heartbeats_.extract(pending_heartbeats_.begin());
         cluster_.on_heartbeat(first.mapped(), true, now);
         co_await slices.pause();
     }
-    for (auto& [name, when] : early_answer_)
+    for (auto& [name, when] : renewals_before_recovery_)
         if (auto* m = cluster_.find_machine(name)) m->last_answer = std::max(m->last_answer, when);
-    early_answer_.clear();
+    renewals_before_recovery_.clear();
     if (cells_) cells_->stop_in_time();
-    loaded_ = true;
-    last_hello_ = now;
+    recovered_ = true;
+    last_worker_heartbeat_ = now;
     spdlog::info("took over after {:.0f} ms: {} active jobs, {} machines on record, {} rentals open",
                  Seconds(now - begun).count() * 1000, count, cluster_.machines().size(),
                  open_requests_.size());
@@ -102,24 +102,24 @@
         else
             names->push_back(name);
     }
-    for (int i = 0; i < asked_at_once; ++i) spawn("fences", fence_known(names));
-    spawn("place", place_loop());
+    for (int i = 0; i < max_concurrent_probes; ++i) spawn("fences", fence_known_workers(names));
+    spawn("place", placement_loop());
     spawn("write", write_loop());
     spawn("tick", tick_loop());
     spawn("watch jobs", watch_jobs());
-    spawn("cloud types", cloud_types());
-    spawn("cloud list", cloud_list());
-    spawn("cloud rent", cloud_rent());
-    for (auto& [request, record] : open_requests_) spawn("rent " + request, rent_one(request, record, true));
+    spawn("cloud types", refresh_machine_types());
+    spawn("cloud list", reconcile_cloud_machines());
+    spawn("cloud rent", scaling_loop());
+    for (auto& [request, record] : open_requests_) spawn("rent " + request, provision(request, record, true));
 }
 
-Task<> Leader::fence_known(std::shared_ptr<std::deque<std::string>> names) {
+Task<> Leader::fence_known_workers(std::shared_ptr<std::deque<std::string>> names) {
     while (!names->empty()) {
         auto name = std::move(names->front());
         names->pop_front();
         // One that has reported to us by now knows our token.
         auto* m = cluster_.find_machine(name);
-        if (m && !(m->up && m->fencing_token_seen >= cluster_.fencing_token())) co_await push(name, true);
+        if (m && !(m->up && m->fencing_token_seen >= cluster_.fencing_token())) co_await dispatch(name, true);
     }
 }
 
--- a/src/api/answers.hpp
+++ b/src/api/responses.hpp
@@ -6,11 +6,11 @@
 
 namespace barrowrun::api {
 
-inline net::Response problem(int status, std::string text, int retry_after = 0) {
+inline net::Response error_response(int status, std::string text, int retry_after = 0) {
     return net::Response{status, {{"error", std::move(text)}}, retry_after};
 }
 
-inline wire::Json id_body(const std::string& id) {
+inline wire::Json job_id_body(const std::string& id) {
     return wire::Json{{"id", id}};
 }
 
--- a/src/api/node_submissions.cpp
+++ b/src/api/submissions.cpp
@@ -1,8 +1,8 @@
 // Submissions: any node accepts a job, once it is on record.
 #include <spdlog/spdlog.h>
 
-#include "api/answers.hpp"
 #include "api/node.hpp"
+#include "api/responses.hpp"
 
 namespace barrowrun::api {
 using net::http::verb;
@@ -10,106 +10,106 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr int most_write_attempts = 3;
+constexpr int max_write_attempts = 3;
 // Between them, while the state service's rate is exceeded for a moment.
 constexpr std::chrono::milliseconds write_retry_pause{150};
 // A user waits for 5 s; what another node needs has to fit as well.
 constexpr std::chrono::milliseconds write_deadline{1200}, peer_deadline{1500};
 // What a peer last said of the queues counts for so long.
-constexpr std::chrono::seconds peer_word_holds{5};
+constexpr std::chrono::seconds peer_status_lifetime{5};
 constexpr int retry_after_full_queues_s = 10;
 }  // namespace
 
 Task<Response> Node::submit(std::string body) {
     auto decoded = wire::decode(body);
-    if (!decoded || !decoded->is_object()) co_return problem(400, "the body is not a MessagePack map");
+    if (!decoded || !decoded->is_object()) co_return error_response(400, "the body is not a MessagePack map");
     auto parsed = wire::parse_submission(*decoded);
     if (auto* wrong = std::get_if<std::string>(&parsed)) {
         // A known job gets its state, whatever the repeated body says.
         auto id = wire::text(*decoded, "name_id");
         if (id && wire::valid_job_id(*id)) {
-            auto look = co_await look_up(*id);
-            if (!look.known_outcome) co_return problem(503, "the state service does not answer", 1);
-            if (look.status) co_return Response{200, wire::accepted_json(*id, look.status->state)};
+            auto lookup = co_await look_up_job(*id);
+            if (!lookup.conclusive) co_return error_response(503, "the state service does not answer", 1);
+            if (lookup.status) co_return Response{200, wire::accepted_json(*id, lookup.status->state)};
         }
-        co_return problem(400, *wrong);
+        co_return error_response(400, *wrong);
     }
     co_return co_await submit_job(std::get<wire::JobSpec>(std::move(parsed)), false);
 }
 
-std::optional<Node::Refusal> Node::refused_by_settings(const wire::JobSpec& spec) const {
+std::optional<Node::Rejection> Node::rejected_by_settings(const wire::JobSpec& spec) const {
     auto team = settings_.placement.teams.find(spec.team);
-    if (team == settings_.placement.teams.end()) return Refusal{422, "unknown team"};
+    if (team == settings_.placement.teams.end()) return Rejection{422, "unknown team"};
     const double at_once = spec.kind == wire::JobKind::array ? 1.0 : spec.tasks;
     const auto& limits = team->second;
     if ((limits.cpus_max > 0 && spec.need.cpus * at_once > limits.cpus_max + 1e-6) ||
         (limits.gpus_max > 0 && spec.need.gpus * at_once > limits.gpus_max + 1e-6))
-        return Refusal{422, "needs more than the team's limit"};
+        return Rejection{422, "needs more than the team's limit"};
     if (!settings_.cells) return std::nullopt;
     auto home = settings_.cells->home_elsewhere(spec.team);
     if (home.empty()) return std::nullopt;
-    return Refusal{503, "jobs of team " + spec.team + " are taken by cell " + home, 1};
+    return Rejection{503, "jobs of team " + spec.team + " are taken by cell " + home, 1};
 }
 
-std::optional<Node::Refusal> Node::refused_by_types(const wire::JobSpec& spec) const {
-    if (catalog_.empty()) return Refusal{503, "the machine types are not known yet", 1};
+std::optional<Node::Rejection> Node::rejected_by_machine_types(const wire::JobSpec& spec) const {
+    if (catalog_.empty()) return Rejection{503, "the machine types are not known yet", 1};
     if (!placement::fits_some_type(spec, catalog_))
-        return Refusal{422, "a task fits no allowed machine type"};
+        return Rejection{422, "a task fits no allowed machine type"};
     return std::nullopt;
 }
 
-std::optional<Node::Refusal> Node::refused_by_queues(const wire::JobSpec& spec) {
+std::optional<Node::Rejection> Node::rejected_by_queue_bound(const wire::JobSpec& spec) {
     bool admitted = true;
-    if (auto* leads = leader()) {
-        if (leads->loaded()) admitted = leads->admits(spec.tasks);
+    if (auto* leads = acting_leader()) {
+        if (leads->recovered()) admitted = leads->admits(spec.tasks);
     } else {
         for (auto& peer : election_.peers())
-            if (peer.leading && Clock::now() - peer.heard < peer_word_holds &&
+            if (peer.leading && Clock::now() - peer.heard < peer_status_lifetime &&
                 peer.waiting + spec.tasks > settings_.placement.queue_bound)
                 admitted = false;
     }
     if (admitted) return std::nullopt;
-    return Refusal{429, "the queues are full", retry_after_full_queues_s};
+    return Rejection{429, "the queues are full", retry_after_full_queues_s};
 }
 
-Task<std::optional<Node::Refusal>> Node::refused(const wire::JobSpec& spec) {
-    auto refusal = refused_by_settings(spec);
-    if (refusal) co_return refusal;
+Task<std::optional<Node::Rejection>> Node::find_rejection(const wire::JobSpec& spec) {
+    auto rejection = rejected_by_settings(spec);
+    if (rejection) co_return rejection;
     auto wrong = co_await check_project(spec);
-    if (wrong) co_return Refusal{422, std::move(*wrong)};
-    refusal = refused_by_types(spec);
-    if (refusal) co_return refusal;
-    refusal = refused_by_queues(spec);
-    co_return refusal;
+    if (wrong) co_return Rejection{422, std::move(*wrong)};
+    rejection = rejected_by_machine_types(spec);
+    if (rejection) co_return rejection;
+    rejection = rejected_by_queue_bound(spec);
+    co_return rejection;
 }
 
-Task<Response> Node::answer_refused(std::string id, Refusal refusal) {
+Task<Response> Node::respond_rejected(std::string id, Rejection rejection) {
     // What is known already is never refused.
-    auto look = co_await look_up(id);
-    if (!look.known_outcome) co_return problem(503, "the state service does not answer", 1);
-    if (look.status) co_return Response{200, wire::accepted_json(id, look.status->state)};
-    co_return problem(refusal.status, std::move(refusal.reason), refusal.retry_after_s);
+    auto lookup = co_await look_up_job(id);
+    if (!lookup.conclusive) co_return error_response(503, "the state service does not answer", 1);
+    if (lookup.status) co_return Response{200, wire::accepted_json(id, lookup.status->state)};
+    co_return error_response(rejection.status, std::move(rejection.reason), rejection.retry_after_s);
 }
 
 Task<std::optional<Response>> Node::write_submission(const state::JobRecord& record) {
     const std::string id = record.spec.id;
-    for (int attempt = 0; attempt < most_write_attempts; ++attempt) {
+    for (int attempt = 0; attempt < max_write_attempts; ++attempt) {
         std::vector<state::Precondition> preconditions;
         preconditions.push_back({state::job_key(id), 0});
         preconditions.push_back({state::finished_key(id), 0});
         std::vector<state::Operation> operations;
         operations.push_back({state::job_key(id), state::to_json(record), 0});
         auto term = leader_;
-        const bool loaded_before = term && term->loaded();
+        const bool recovered_before = term && term->recovered();
         // Not behind the leader's own writes: while the fleet is busy those wait for most of a second.
         auto result = co_await state_.compare_and_swap(preconditions, operations, write_deadline,
                                                        state::Throttle::charge_only);
         if (result.outcome == Outcome::ok) {
             // A term that has read the records since may know the job already, and that it is over.
-            if (loaded_before && leader() && leader_ == term)
-                term->accepted_here(record);
+            if (recovered_before && acting_leader() && leader_ == term)
+                term->job_accepted_locally(record);
             else
-                net::asio::co_spawn(io_, tell_leader(id), net::asio::detached);
+                net::asio::co_spawn(io_, notify_leader(id), net::asio::detached);
             spdlog::debug("job {} is accepted", id);
             co_return Response{201, wire::accepted_json(id, wire::JobState::queued)};
         }
@@ -119,14 +119,14 @@
                 auto job_state = wire::parse_job_state(wire::text(known.body, "standing").value_or(""));
                 if (job_state) co_return Response{200, wire::accepted_json(id, *job_state)};
             }
-            co_return problem(503, "not now", 1);
+            co_return error_response(503, "not now", 1);
         }
         if (result.outcome == Outcome::unknown) {
             // It may have been written: read back.
-            auto look = co_await look_up(id);
-            if (!look.status) co_return std::nullopt;
-            net::asio::co_spawn(io_, tell_leader(id), net::asio::detached);
-            co_return Response{200, wire::accepted_json(id, look.status->state)};
+            auto lookup = co_await look_up_job(id);
+            if (!lookup.status) co_return std::nullopt;
+            net::asio::co_spawn(io_, notify_leader(id), net::asio::detached);
+            co_return Response{200, wire::accepted_json(id, lookup.status->state)};
         }
         if (!state_.responsive(Clock::now())) co_return std::nullopt;
         co_await net::sleep_for(write_retry_pause);
@@ -134,7 +134,7 @@
     co_return std::nullopt;
 }
 
-Task<std::optional<Response>> Node::pass_to_a_peer(const wire::JobSpec& spec) {
+Task<std::optional<Response>> Node::forward_to_peer(const wire::JobSpec& spec) {
     if (!election_.peer_reaches_state_service(Clock::now())) co_return std::nullopt;
     for (auto& peer : election_.peers()) {
         if (!peer.state_ok) continue;
@@ -147,25 +147,25 @@
 }
 
 Task<Response> Node::submit_job(wire::JobSpec spec, bool from_peer) {
-    auto refusal = co_await refused(spec);
-    if (refusal) {
-        auto answer = co_await answer_refused(spec.id, std::move(*refusal));
+    auto rejection = co_await find_rejection(spec);
+    if (rejection) {
+        auto answer = co_await respond_rejected(spec.id, std::move(*rejection));
         co_return answer;
     }
     state::JobRecord record{std::move(spec), wall_ms()};
     auto answer = co_await write_submission(record);
-    if (!answer && !from_peer) answer = co_await pass_to_a_peer(record.spec);
+    if (!answer && !from_peer) answer = co_await forward_to_peer(record.spec);
     if (answer) co_return std::move(*answer);
-    co_return problem(503, "the state service does not answer", 1);
+    co_return error_response(503, "the state service does not answer", 1);
 }
 
-Task<> Node::tell_leader(std::string id) {
-    if (auto kept = leader_; leader()) {
-        co_await kept->accepted(id);
+Task<> Node::notify_leader(std::string id) {
+    if (auto term = leader_; acting_leader()) {
+        co_await term->job_accepted(id);
         co_return;
     }
     // If this is lost, the leader finds the record by its watch.
-    co_await ask_leader("/peer/accepted", id_body(id), 1000ms);
+    co_await forward_to_leader("/peer/accepted", job_id_body(id), 1000ms);
 }
 
 }  // namespace barrowrun::api
--- a/src/api/node_workers.cpp
+++ b/src/api/worker_routes.cpp
@@ -1,20 +1,21 @@
 // Workers' heartbeats at a node that may or may not lead.
 #include <spdlog/spdlog.h>
 
-#include "api/answers.hpp"
 #include "api/node.hpp"
+#include "api/responses.hpp"
 
 namespace barrowrun::api {
 using net::http::verb;
 using namespace std::chrono_literals;
 
-Task<Response> Node::hello(std::string body) {
+Task<Response> Node::worker_heartbeat(std::string body) {
     auto decoded = wire::decode(body);
-    if (!decoded) co_return problem(400, "not MessagePack");
+    if (!decoded) co_return error_response(400, "not MessagePack");
     auto heartbeat = wire::parse_worker_heartbeat(*decoded);
-    if (!heartbeat) co_return problem(400, "not a report");
+    if (!heartbeat) co_return error_response(400, "not a report");
     auto now = Clock::now();
-    if (auto kept = leader_; leader()) co_return co_await kept->hello(std::move(*heartbeat), true);
+    if (auto term = leader_; acting_leader())
+        co_return co_await term->worker_heartbeat(std::move(*heartbeat), true);
     // Cut off together with the worker: it keeps its lease for a while, and what it runs goes on.
     if (renewer_.may_renew_cut_off(*heartbeat, now, !state_.responsive(now))) {
         if (now - renewal_logged_ > 30s)
@@ -23,18 +24,18 @@
         if (leader_) leader_->lease_renewed(heartbeat->machine, now);
         co_return Response{200, wire::worker_heartbeat_answer(renewer_.fencing_token(), {})};
     }
-    if (leader_) co_return problem(503, "not entitled to act");
+    if (leader_) co_return error_response(503, "not entitled to act");
     auto name = election_.leader_name();
-    if (name.empty()) co_return problem(503, "no leader is known");
+    if (name.empty()) co_return error_response(503, "no leader is known");
     if (redirects_.should_redirect(election_.leader_incarnation(), heartbeat->machine, now))
         co_return Response{421, wire::redirect_answer(name)};
     auto address = election_.leader_address();
-    if (!address) co_return problem(503, "no leader is known");
+    if (!address) co_return error_response(503, "no leader is known");
     auto reply = co_await peers_.call(*address, verb::post, "/peer/hello",
                                       wire::worker_heartbeat_json(*heartbeat), 2500ms);
     if (reply.status == 200) co_return Response{200, std::move(reply.body)};
     redirects_.on_forwarding_failed(heartbeat->machine);
-    co_return problem(503, "the leader does not answer");
+    co_return error_response(503, "the leader does not answer");
 }
 
 }  // namespace barrowrun::api
--- a/tests/assignment_shards_test.cpp
+++ b/tests/assignment_shards_test.cpp
@@ -199,7 +199,7 @@
     EXPECT_GT(crashes, 300u);
 }
 
-TEST(Takeover, RecordsThatCannotBeReadHoldAllStartsForALease) {
+TEST(Failover, RecordsThatCannotBeReadHoldAllStartsForALease) {
     Fleet f;
     f.add(f.spec("wk-1"));
     f.cluster->note_unreadable_record(0, f.now + 20s);
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -70,7 +70,7 @@
     EXPECT_FALSE(Fleet::recorded(writes).contains("n-1"));
 }
 
-TEST(Takeover, InheritedStartsWaitForThisLeadersToken) {
+TEST(Failover, InheritedStartsWaitForThisLeadersToken) {
     Fleet f;
     f.restart(50);
     auto& job = f.add(f.spec("wk-1", 2));
@@ -97,7 +97,7 @@
 }
 
 // A worker may report tasks before the leader has heard of their job: they are running all the same.
-TEST(Takeover, TasksReportedBeforeTheirJobIsKnownAreNotStartedAgain) {
+TEST(Failover, TasksReportedBeforeTheirJobIsKnownAreNotStartedAgain) {
     Fleet f;
     Attempt zero{{"wk-1", 0}, 7};
     f.cluster->on_heartbeat(f.heartbeat("n-1", {{zero, TaskState::running, Cause::none, false}}), true,
@@ -110,7 +110,7 @@
     EXPECT_TRUE(job.waiting.empty());
 }
 
-TEST(Takeover, ASilentMachineIsCountedFromTheAcquisition) {
+TEST(Failover, ASilentMachineIsCountedFromTheAcquisition) {
     Fleet f;
     f.restart(50);
     f.add(f.spec("wk-1"));
--- a/tests/cuts_test.cpp
+++ b/tests/cuts_test.cpp
@@ -78,7 +78,7 @@
     std::size_t kept = 0;
     std::map<std::string, wire::JobSpec> jobs;
     int ids = 0, names = 0;
-    std::size_t starts = 0, agent_epochs = 0, takeovers = 0, leases_over = 0;
+    std::size_t starts = 0, agent_epochs = 0, failovers = 0, leases_over = 0;
     std::string broken;
 
     explicit CutWorld(std::uint64_t seed) : random(seed) {
@@ -284,7 +284,7 @@
         }
     }
     void successor() {
-        ++takeovers;
+        ++failovers;
         advance(std::chrono::milliseconds(1000 + pick(2500)));
         lead();
     }
@@ -423,7 +423,7 @@
 #else
     constexpr std::uint64_t histories = 12'000;
 #endif
-    std::size_t starts = 0, agent_epochs = 0, takeovers = 0, leases = 0, kept = 0;
+    std::size_t starts = 0, agent_epochs = 0, failovers = 0, leases = 0, kept = 0;
     for (std::uint64_t seed = 1; seed <= histories; ++seed) {
         CutWorld w(seed);
         for (int step = 0; step < 200; ++step) {
@@ -431,17 +431,17 @@
             auto wrong = w.wrong();
             ASSERT_EQ(wrong, "") << "seed " << seed << ", step " << step;
         }
-        starts += w.starts, agent_epochs += w.agent_epochs, takeovers += w.takeovers, leases += w.leases_over;
+        starts += w.starts, agent_epochs += w.agent_epochs, failovers += w.failovers, leases += w.leases_over;
         kept += w.kept;
     }
     EXPECT_GT(starts, 5 * histories);
     EXPECT_GT(agent_epochs, histories);
-    EXPECT_GT(takeovers, histories);
+    EXPECT_GT(failovers, histories);
     EXPECT_GT(leases, histories / 20);
     EXPECT_GT(kept, histories);
     std::printf(
-        "%llu histories: %zu starts, %zu new agent epochs, %zu takeovers, %zu leases that ran out, %zu "
+        "%llu histories: %zu starts, %zu new agent epochs, %zu failovers, %zu leases that ran out, %zu "
         "answers "
         "of a node that was cut off\n",
-        static_cast<unsigned long long>(histories), starts, agent_epochs, takeovers, leases, kept);
+        static_cast<unsigned long long>(histories), starts, agent_epochs, failovers, leases, kept);
 }
--- a/tests/guarantees_test.cpp
+++ b/tests/guarantees_test.cpp
@@ -543,7 +543,7 @@
 #else
     constexpr std::uint64_t histories = 10'000;
 #endif
-    std::size_t started = 0, takeovers = 0;
+    std::size_t started = 0, failovers = 0;
     for (std::uint64_t seed = 1; seed <= histories; ++seed) {
         World w(seed);
         for (auto& [name, worker] : w.workers) w.cluster->on_heartbeat(w.heartbeat(name), true, w.now);
@@ -552,11 +552,11 @@
             auto wrong = w.wrong();
             ASSERT_EQ(wrong, "") << "seed " << seed << ", step " << step;
         }
-        takeovers += w.fencing_token - 10;
+        failovers += w.fencing_token - 10;
         for (auto& [name, worker] : w.workers) started += worker.tasks.size();
     }
     EXPECT_GT(started, histories);
-    EXPECT_GT(takeovers, histories / 2);
-    std::printf("%llu histories, %zu takeovers, %zu attempts on machines at their ends\n",
-                static_cast<unsigned long long>(histories), takeovers, started);
+    EXPECT_GT(failovers, histories / 2);
+    std::printf("%llu histories, %zu failovers, %zu attempts on machines at their ends\n",
+                static_cast<unsigned long long>(histories), failovers, started);
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -88,7 +88,7 @@
     EXPECT_EQ(result.revision, 12u);
 }
 
-// Found on a day of bdps-manila-grown: a takeover whose reads failed one after the other put together parts
+// Found on a day of bdps-manila-grown: a failover whose reads failed one after the other put together parts
 // of different passes, machines without their jobs, and started hundreds of running tasks a second time.
 TEST(StateClient, ASnapshotIsReadInOnePassOrNotAtAll) {
     Scripted service;
--- a/tests/retries_test.cpp
+++ b/tests/retries_test.cpp
@@ -109,7 +109,7 @@
     EXPECT_EQ(commands[0].verb, Verb::reap);
 }
 
-TEST(Retries, ATakeoverAfterTheRecordDoesNotCountAFailureTwice) {
+TEST(Retries, AFailoverAfterTheRecordDoesNotCountAFailureTwice) {
     Counting f;
     auto s = f.limited(1);
     f.up("n-1");
@@ -126,7 +126,7 @@
     EXPECT_EQ(f.cluster->reply_commands(f.machine("n-1"), f.now).size(), 1u);
 }
 
-TEST(Retries, ATakeoverBeforeTheRecordDoesNotLoseTheLastFailure) {
+TEST(Retries, AFailoverBeforeTheRecordDoesNotLoseTheLastFailure) {
     Counting f;
     auto s = f.limited(0);
     f.up("n-1");
--- a/tests/sim/meetings_records_test.cpp
+++ b/tests/sim/meetings_records_test.cpp
@@ -120,7 +120,7 @@
 }
 
 // The same with machines that can't be asked while the cancellation is confirmed by the successor.
-TEST(TeamLimit, ACancellationThatFallsIntoTheTakeoverFreesNothingTooEarly) {
+TEST(TeamLimit, ACancellationThatFallsIntoTheFailoverFreesNothingTooEarly) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         Site site({.seed = seed, .machines = 6, .team_cpus_most = 8});
         site.poll_all(2s);
