--- a/bench/cells_bench.cpp
+++ b/bench/cells_bench.cpp
@@ -4,7 +4,7 @@
 
 #include <random>
 
-#include "cells/spill.hpp"
+#include "cells/offload.hpp"
 
 using namespace barrowrun;
 
@@ -24,7 +24,7 @@
 void digest(benchmark::State& state) {
     auto all = rooms(static_cast<std::size_t>(state.range(0)));
     for (auto _ : state) {
-        cells::Digest d;
+        cells::CapacityDigest d;
         for (auto& r : all) d.add(r);
         benchmark::DoNotOptimize(d.fits({4, 0, 4}));
     }
@@ -35,16 +35,16 @@
     cells::Settings settings;
     settings.self = "a";
     for (auto* name : {"b", "c", "d", "e", "f", "g", "h"})
-        settings.neighbours.push_back({name, {"127.0.0.1:1"}});
+        settings.peer_cells.push_back({name, {"127.0.0.1:1"}});
     settings.teams["desk"] = {"a", {"b", "c", "d", "e", "f", "g", "h"}};
-    cells::Spiller spiller;
+    cells::OffloadPlanner planner;
     const TimePoint now = TimePoint{} + std::chrono::hours(1);
-    for (auto& n : settings.neighbours) {
-        cells::Digest d;
+    for (auto& n : settings.peer_cells) {
+        cells::CapacityDigest d;
         for (auto& r : rooms(1000)) d.add(r);
-        spiller.heard(n.name, std::move(d), now, now);
+        planner.on_digest(n.name, std::move(d), now, now);
     }
-    std::vector<cells::Candidate> waiting;
+    std::vector<cells::OffloadCandidate> waiting;
     for (int i = 0; i < state.range(0); ++i)
         waiting.push_back({"wk-" + std::to_string(i),
                            "desk",
@@ -52,7 +52,7 @@
                            {4, 0, 4},
                            50,
                            std::chrono::minutes(1)});
-    for (auto _ : state) benchmark::DoNotOptimize(spiller.choose(settings, waiting, now, 32));
+    for (auto _ : state) benchmark::DoNotOptimize(planner.choose(settings, waiting, now, 32));
 }
 BENCHMARK(choose)->Arg(10)->Arg(1000)->Unit(benchmark::kMicrosecond);
 
--- a/src/api/cells.hpp
+++ b/src/api/cell_delegations.hpp
@@ -4,8 +4,8 @@
 #include <memory>
 #include <utility>
 
+#include "cells/offload.hpp"
 #include "cells/records.hpp"
-#include "cells/spill.hpp"
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
 #include "placement/cluster.hpp"
@@ -14,7 +14,7 @@
 namespace barrowrun::api {
 
 // All of it belongs to one term. What it wants done of the leader stands in `Host`.
-class Cells {
+class CellDelegations {
   public:
     using Json = wire::Json;
     struct Host {
@@ -29,67 +29,67 @@
         // that renews a lease of a machine that may hold one of them may be given, so that this holds.
         std::chrono::milliseconds gone_within, renewed_within;
     };
-    Cells(const cells::Settings& settings, Host host);
+    CellDelegations(const cells::Settings& settings, Host host);
     // Reads the records of parts. False: not now. Before any other.
-    net::Task<bool> read();
+    net::Task<bool> read_records();
     // Takes them over. False: not now. Before anything is started.
-    net::Task<bool> load(TimePoint now, std::int64_t wall_ms);
+    net::Task<bool> recover(TimePoint now, std::int64_t wall_ms);
     // Whether a heartbeat may be answered, which renews the worker's lease: what a part with an end may have
     // on the machine must be gone in time. `m`: absent while the records are being read.
     bool may_renew(const wire::WorkerHeartbeat& heartbeat, const fleet::Machine* m) const;
     // Once a second or so: spills, sends again what has no answer, asks for what is done.
-    net::Task<> loop();
+    net::Task<> run();
     // Stops what must be gone before long. Before every round, the first above all: leaders that follow each
     // other faster than `loop` looks started tasks of a part whose end was over.
-    void stop_in_time();
+    void stop_before_deadlines();
     // Another cell's request: an offer or a recall.
-    net::Task<net::Response> asked(cells::Request request);
-    wire::Json digest();
+    net::Task<net::Response> handle_request(cells::DelegationRequest request);
+    wire::Json capacity_digest();
 
   private:
-    struct Lending {
+    struct Delegated {
         std::string to;
-        cells::Lender lender;
+        cells::DelegationOrigin origin;
         bool writing = false, asking = false;
-        bool unanswered = false;  // offered in this term, and nothing was heard of it yet
-        TimePoint asked{};
+        bool awaiting_first_reply = false;  // offered in this term, and nothing was heard of it yet
+        TimePoint last_request{};
     };
-    struct Holding {
+    struct Executing {
         std::string owner;
         wire::JobSpec spec;
         std::int64_t accepted_ms = 0;
-        cells::Borrower borrower;
+        cells::DelegationExecutor executor;
         bool writing = false;
     };
-    void spill(TimePoint now);
-    void step(const std::string& job, TimePoint now);
-    net::Task<> ask(std::string job);
-    void pump(const std::string& job);
-    void recorded(const std::string& job, const cells::HeldRecord& record);
-    void look_at_borrowed();
-    net::Task<> ask_digest(std::string cell, std::string node);
-    const cells::Neighbour* neighbour(const std::string& name) const;
+    void offload_waiting_tasks(TimePoint now);
+    void advance(const std::string& job, TimePoint now);
+    net::Task<> exchange(std::string job);
+    void write_executor_record(const std::string& job);
+    void on_executor_recorded(const std::string& job, const cells::ExecutorRecord& record);
+    void collect_executed_changes();
+    net::Task<> request_digest(std::string cell, std::string node);
+    const cells::PeerCell* peer_cell(const std::string& name) const;
     const std::string& node_of(const std::string& cell);
-    std::optional<DayTime> end_for(const std::string& job_class) const;
+    std::optional<DayTime> deadline_for(const std::string& job_class) const;
     // How long before its end a part must be told to stop here.
     std::chrono::milliseconds stop_ahead() const {
         return host_.gone_within + 2 * host_.max_clock_error + slack;
     }
-    DayTime stop_by(DayTime until) const { return until - stop_ahead(); }
-    void stop_borrowed(const std::string& job);
+    DayTime stop_by(DayTime deadline) const { return deadline - stop_ahead(); }
+    void stop_executing(const std::string& job);
 
     static constexpr std::chrono::seconds slack{2};  // until the next look, and a takeover's records are read
 
     const cells::Settings& settings_;
     Host host_;
-    cells::Spiller spiller_;
-    std::map<std::string, Lending> lent_;
-    std::map<std::string, Holding> held_;
+    cells::OffloadPlanner offload_planner_;
+    std::map<std::string, Delegated> delegated_;
+    std::map<std::string, Executing> executing_;
     // As read, until they are taken over; and the first end among those held, of one that can't be read: long
     // ago.
-    state::Listing lent_records_;
-    std::vector<std::pair<std::string, std::optional<cells::Held>>> held_records_;
-    std::optional<DayTime> first_end_;
+    state::Listing origin_listing_;
+    std::vector<std::pair<std::string, std::optional<cells::StoredExecutor>>> executor_records_;
+    std::optional<DayTime> earliest_deadline_;
     Json digest_;
     TimePoint digest_made_{};
     std::map<std::string, std::size_t> node_;  // which of a cell's nodes answered last
--- a/src/api/command_dispatcher.cpp
+++ b/src/api/command_dispatcher.cpp
@@ -23,7 +23,7 @@
         // What the predecessor has confirmed as cancelled stands in the records, and an outage that begins
         // before they are read may last for longer than `cancel_s`.
         if (!services_.renewer.may_renew(heartbeat.machine, now)) co_return not_entitled;
-        if (cells_ && !cells_->may_renew(heartbeat, nullptr)) co_return not_entitled;
+        if (cell_delegations_ && !cell_delegations_->may_renew(heartbeat, nullptr)) co_return not_entitled;
         renewals_before_recovery_[heartbeat.machine] = now;
         co_return Response{200, wire::worker_heartbeat_answer(fencing_token, {})};
     }
@@ -32,7 +32,7 @@
     auto* m = cluster_.find_machine(heartbeat.machine);
     if (!m) co_return not_entitled;
     if (!newer && heartbeat.agent_epoch != m->agent_epoch) co_return not_entitled;
-    if (cells_ && !cells_->may_renew(heartbeat, m)) co_return not_entitled;
+    if (cell_delegations_ && !cell_delegations_->may_renew(heartbeat, m)) co_return not_entitled;
     if (!m->may_renew(now, renewal_period_)) co_return not_entitled;
     // Not newer, but of this agent epoch: an answer to a push has overtaken it. The worker still waits for
     // this one.
--- a/src/api/leader.cpp
+++ b/src/api/leader.cpp
@@ -25,9 +25,9 @@
     cluster_.lead(fencing_token, acquired);
     cluster_.set_types(services_.catalog);
     if (!services_.settings.cells) return;
-    cells_ = std::make_unique<Cells>(
+    cell_delegations_ = std::make_unique<CellDelegations>(
         *services_.settings.cells,
-        Cells::Host{
+        CellDelegations::Host{
             cluster_, services_.state, services_.peers, [this] { return may_act(); },
             [this] { write_signal_.wake(); }, [this] { placement_signal_.wake(); },
             [this](std::string name, Task<> duty) { spawn(std::move(name), std::move(duty)); },
@@ -175,7 +175,7 @@
             continue;
         }
         if (Clock::now() - acquired_ < 150ms) co_await net::sleep_for(100ms);
-        if (cells_) cells_->stop_in_time();
+        if (cell_delegations_) cell_delegations_->stop_before_deadlines();
         cluster_.schedule_round(Clock::now());
         if (cluster_.has_writes()) write_signal_.wake();
         dispatch_pending_commands();
--- a/src/api/leader.hpp
+++ b/src/api/leader.hpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <memory>
 
-#include "api/cells.hpp"
+#include "api/cell_delegations.hpp"
 #include "api/quota_service.hpp"
 #include "autoscaler/autoscaler.hpp"
 #include "election/election.hpp"
@@ -46,7 +46,7 @@
 
     bool recovered() const { return recovered_; }
     // Its part with other cells; nothing: there are none, or the records are still being read.
-    Cells* cells() { return recovered_ ? cells_.get() : nullptr; }
+    CellDelegations* cells() { return recovered_ ? cell_delegations_.get() : nullptr; }
     bool may_act() const { return !stopped_ && services_.election.leading(Clock::now()); }
     // A worker's heartbeat, at this node or by way of another.
     Task<Response> worker_heartbeat(wire::WorkerHeartbeat heartbeat, bool direct);
@@ -122,7 +122,7 @@
     fleet::LeaderReachability reachability_;
     const Clock::duration renewal_period_;  // leases::renewal_period
     leases::RenewalBound renewal_bound_;
-    std::unique_ptr<Cells> cells_;
+    std::unique_ptr<CellDelegations> cell_delegations_;
     TimePoint lagging_until_{};  // as it was last said
 };
 
--- a/src/api/peer_routes.cpp
+++ b/src/api/peer_routes.cpp
@@ -21,19 +21,19 @@
                 if (auto grant = leader_->node_heartbeat(wire::text(*body, "from").value_or(""), *heartbeat))
                     answer["leases"] = leases::to_json(*grant);
         if (auto* cells = leads ? leader_->cells() : nullptr; cells && wire::find(*body, "cell"))
-            answer["digest"] = cells->digest();
+            answer["digest"] = cells->capacity_digest();
         co_return Response{200, std::move(answer)};
     }
     // A part of a job, between cells: an offer comes as a submission, a recall as a cancellation.
     if (const Json* part = wire::find(*body, "part");
         part && (target == "/peer/submit" || target == "/peer/cancel")) {
-        auto asked = cells::parse_request(*part);
+        auto asked = cells::parse_delegation_request(*part);
         if (!asked || asked->spec.has_value() != (target == "/peer/submit"))
             co_return error_response(400, "malformed");
         auto term = leader_;
         auto* cells = acting_leader() ? term->cells() : nullptr;
         if (!cells) co_return error_response(503, "not entitled to act");
-        co_return co_await cells->asked(std::move(*asked));
+        co_return co_await cells->handle_request(std::move(*asked));
     }
     if (target == "/peer/abstain") {
         auto ms = wire::count(*body, "ms").value_or(0);
--- a/src/api/recovery.cpp
+++ b/src/api/recovery.cpp
@@ -15,8 +15,8 @@
     auto begun = Clock::now();
     // First of all: parts of other cells' jobs may have to be gone by a moment, and until it is known
     // whether, no heartbeat is answered.
-    if (cells_)
-        while (!co_await cells_->read()) co_await net::sleep_for(200ms);
+    if (cell_delegations_)
+        while (!co_await cell_delegations_->read_records()) co_await net::sleep_for(200ms);
     std::optional<state::Snapshot> read;
     while (!(read = co_await services_.state.snapshot())) {
         spdlog::warn("the records could not be read, once more");
@@ -54,10 +54,10 @@
         cluster_.add_job(*record, done ? &*done : nullptr, now, wall);
         ++count;
     }
-    if (cells_) {
+    if (cell_delegations_) {
         // Before the machines: what these run of other cells' jobs belongs to a job that is known.
-        while (!co_await cells_->load(now, wall)) co_await net::sleep_for(200ms);
-        spawn("cells", cells_->loop());
+        while (!co_await cell_delegations_->recover(now, wall)) co_await net::sleep_for(200ms);
+        spawn("cells", cell_delegations_->run());
     }
     for (auto& item : shards.items) {
         co_await slices.pause();
@@ -83,7 +83,7 @@
     for (auto& [name, when] : renewals_before_recovery_)
         if (auto* m = cluster_.find_machine(name)) m->last_answer = std::max(m->last_answer, when);
     renewals_before_recovery_.clear();
-    if (cells_) cells_->stop_in_time();
+    if (cell_delegations_) cell_delegations_->stop_before_deadlines();
     recovered_ = true;
     last_worker_heartbeat_ = now;
     spdlog::info("took over after {:.0f} ms: {} active jobs, {} machines on record, {} rentals open",
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -46,7 +46,7 @@
         (limits.gpus_max > 0 && spec.need.gpus * at_once > limits.gpus_max + 1e-6))
         return Rejection{422, "needs more than the team's limit"};
     if (!settings_.cells) return std::nullopt;
-    auto home = settings_.cells->home_elsewhere(spec.team);
+    auto home = settings_.cells->remote_home(spec.team);
     if (home.empty()) return std::nullopt;
     return Rejection{503, "jobs of team " + spec.team + " are taken by cell " + home, 1};
 }
--- /dev/null
+++ b/src/cells/delegation.cpp
@@ -0,0 +1,140 @@
+#include "cells/delegation.hpp"
+
+#include <algorithm>
+
+namespace barrowrun::cells {
+// ---- the owner ----
+
+DelegationOrigin::Action DelegationOrigin::next_action() const {
+    if (pending_) return *pending_;
+    if (!record_.open) return {};
+    if (recalling_) return DelegationRecall{record_.epoch};
+    // Again while it is held, too: the answer tells what is done.
+    return DelegationOffer{record_.epoch, record_.tasks, record_.deadline};
+}
+
+bool DelegationOrigin::delegate(IndexSet tasks, std::optional<DayTime> deadline) {
+    if (pending_ || record_.open || tasks.empty()) return false;
+    pending_ = Write{{record_.epoch + 1, true, std::move(tasks), deadline}, {}};
+    recalling_ = accepted_ = false;
+    done_ = {};
+    return true;
+}
+
+void DelegationOrigin::extend_deadline(DayTime deadline) {
+    if (pending_ || !record_.open || !record_.deadline || recalling_ || deadline <= *record_.deadline) return;
+    pending_.emplace();
+    pending_->record = record_;
+    pending_->record.deadline = deadline;
+}
+
+bool DelegationOrigin::expire(DayTime now, std::chrono::milliseconds clock_error) {
+    // A later end whose record is under way counts: it may be on record, and be found there by a successor
+    // that sends it.
+    if (pending_ || !record_.open || !record_.deadline || now <= *record_.deadline + clock_error)
+        return false;
+    close();
+    return true;
+}
+
+// Ours again once that is on record: with what was done, or a successor would run it a second time.
+void DelegationOrigin::close() {
+    pending_.emplace();
+    pending_->record.epoch = record_.epoch;
+    pending_->done = done_;
+}
+
+void DelegationOrigin::on_recorded() {
+    if (!pending_) return;
+    record_ = std::move(pending_->record);
+    pending_.reset();
+    if (!record_.open) recalling_ = accepted_ = false;
+}
+
+void DelegationOrigin::on_reply(const DelegationReply& answer) {
+    if (!record_.open || pending_ || answer.epoch != record_.epoch) return;
+    if (answer.status == DelegationReply::Status::undecided) return;
+    // Of a task that the part doesn't have it can't know.
+    answer.done.each([&](std::uint32_t i) {
+        if (record_.tasks.contains(i)) done_.insert(i);
+    });
+    accepted_ = answer.status == DelegationReply::Status::executing;
+    if (answer.status == DelegationReply::Status::closed) close();
+}
+
+// ---- the neighbour ----
+
+DelegationReply DelegationExecutor::answer() const {
+    return {record_.executing ? DelegationReply::Status::executing : DelegationReply::Status::closed,
+            record_.epoch, record_.done};
+}
+
+std::optional<DelegationReply> DelegationExecutor::on_offer(const DelegationOffer& offer, bool may_accept) {
+    if (offer.epoch < record_.epoch) return DelegationReply{DelegationReply::Status::closed, offer.epoch, {}};
+    if (offer.epoch == record_.epoch) {
+        if (record_.executing && !stopping_ && deadline_ && offer.deadline)
+            deadline_ = std::max(*deadline_, *offer.deadline);
+        return answer();
+    }
+    // A new turn while the last is not over: its owner has forgotten what it knew. Nothing is decided.
+    if (record_.executing) return DelegationReply{DelegationReply::Status::undecided, offer.epoch, {}};
+    if (!pending_ || pending_->epoch < offer.epoch)
+        pending_ = ExecutorRecord{offer.epoch, may_accept, offer.tasks, {}, offer.deadline};
+    return std::nullopt;
+}
+
+std::optional<DelegationReply> DelegationExecutor::on_recall(const DelegationRecall& recall) {
+    if (recall.epoch < record_.epoch)
+        return DelegationReply{DelegationReply::Status::closed, recall.epoch, {}};
+    if (recall.epoch == record_.epoch) {
+        if (!record_.executing) return answer();
+        stopping_ = true;
+        return std::nullopt;
+    }
+    if (record_.executing) return DelegationReply{DelegationReply::Status::undecided, recall.epoch, {}};
+    // Of a turn that was never heard of, or whose acceptance is being written: the refusal that its copies
+    // will meet.
+    if (!pending_ || pending_->epoch < recall.epoch) {
+        pending_ = ExecutorRecord{recall.epoch, false, {}, {}, {}};
+    } else if (pending_->epoch == recall.epoch && pending_->executing) {
+        // Its record may be under way: it is refused once that is known.
+        stopping_ = true;
+    }
+    return std::nullopt;
+}
+
+bool DelegationExecutor::stop_if_due(DayTime stop_by) {
+    if (!record_.executing || stopping_ || !deadline_ || stop_by < *deadline_) return false;
+    stopping_ = true;
+    return true;
+}
+
+void DelegationExecutor::on_tasks_done(const IndexSet& tasks) {
+    if (record_.executing) done_.insert(tasks);
+}
+
+std::optional<ExecutorRecord> DelegationExecutor::next_write() const {
+    if (pending_) return pending_;
+    if (!record_.executing) return std::nullopt;
+    auto done = record_.done;
+    done.insert(done_);
+    const bool over = stopping_ && machines_cleared_;
+    // A later end need not be on record before it counts: a successor that knows the earlier one stops
+    // sooner.
+    if (!over && done.size() == record_.done.size() && deadline_ == record_.deadline) return std::nullopt;
+    return ExecutorRecord{record_.epoch, !over, record_.tasks, std::move(done), deadline_};
+}
+
+void DelegationExecutor::on_recorded(const ExecutorRecord& record) {
+    const bool another = record.epoch != record_.epoch;
+    record_ = record;
+    if (pending_ && pending_->epoch <= record.epoch) pending_.reset();
+    if (another) {
+        done_ = {};
+        machines_cleared_ = true;
+        deadline_ = record_.deadline;
+    }
+    if (!record_.executing) stopping_ = false, done_ = {};
+}
+
+}  // namespace barrowrun::cells
--- a/src/cells/handover.hpp
+++ b/src/cells/delegation.hpp
@@ -32,133 +32,134 @@
 namespace barrowrun::cells {
 
 using state::IndexSet;
-using Turn = std::uint64_t;
+using DelegationEpoch = std::uint64_t;
 
 // ---- what is sent, in the users' protocol ----
 
 // POST /submissions with the job, and with it: whose, which turn, and which tasks.
-struct Offer {
-    Turn turn = 0;
+struct DelegationOffer {
+    DelegationEpoch epoch = 0;
     IndexSet tasks;
-    std::optional<DayTime> until;
+    std::optional<DayTime> deadline;
 };
 // POST /submissions/{id}/cancel, of one turn.
-struct Recall {
-    Turn turn = 0;
+struct DelegationRecall {
+    DelegationEpoch epoch = 0;
 };
 // What the neighbour answers to either.
-struct Answer {
-    enum class Word {
-        later,  // nothing was decided: to be asked again
-        holds,  // it is on record there; `done` of it so far
-        over,   // it will never run there (again); `done` is final
+struct DelegationReply {
+    enum class Status {
+        undecided,  // nothing was decided: to be asked again
+        executing,  // it is on record there; `done` of it so far
+        closed,     // it will never run there (again); `done` is final
     };
-    Word word = Word::later;
-    Turn turn = 0;
+    Status status = Status::undecided;
+    DelegationEpoch epoch = 0;
     IndexSet done;
 };
 
 // ---- the owner ----
 
-struct LentRecord {
-    Turn turn = 0;  // the last that was used
+struct OriginRecord {
+    DelegationEpoch epoch = 0;  // the last that was used
     bool open = false;
     IndexSet tasks;  // of an open part
-    std::optional<DayTime> until;
+    std::optional<DayTime> deadline;
 };
 
-class Lender {
+class DelegationOrigin {
   public:
-    explicit Lender(LentRecord record = {}) : record_(std::move(record)) {}
+    explicit DelegationOrigin(OriginRecord record = {}) : record_(std::move(record)) {}
 
     // What is to be done next; the same again until an event changes it.
     struct Write {
-        LentRecord record;
+        OriginRecord record;
         IndexSet done;  // that the neighbour has done, to be recorded with it
     };
-    using Next = std::variant<std::monostate, Write, Offer, Recall>;
-    Next next() const;
+    using Action = std::variant<std::monostate, Write, DelegationOffer, DelegationRecall>;
+    Action next_action() const;
 
     // Tasks that aren't running here and shall run there. Only while nothing is lent.
-    bool lend(IndexSet tasks, std::optional<DayTime> until = {});
+    bool delegate(IndexSet tasks, std::optional<DayTime> deadline = {});
     // A later end, for a part that has one; only after the neighbour was heard to hold it.
-    void renew(DayTime until);
+    void extend_deadline(DayTime deadline);
     // The time of day is `now`, and clocks may be apart by `apart`. True: the end is over, and the part
     // becomes ours again with what was last heard to be done. What the neighbour did without its being heard
     // is done again.
-    bool run_out(DayTime now, std::chrono::milliseconds apart);
+    bool expire(DayTime now, std::chrono::milliseconds clock_error);
     // The part is wanted back, or is to be acknowledged as done.
-    void want_back() { recalling_ = true; }
+    void recall() { recalling_ = true; }
     // The write that `next` asked for is on record.
-    void wrote();
+    void on_recorded();
     // An answer; one to an earlier turn says nothing.
-    void answered(const Answer& answer);
+    void on_reply(const DelegationReply& answer);
 
     // Whether the tasks may not be run here.
-    bool away() const { return record_.open || (pending_ && pending_->record.open); }
+    bool delegated() const { return record_.open || (pending_ && pending_->record.open); }
     const IndexSet& tasks() const {
         return pending_ && pending_->record.open ? pending_->record.tasks : record_.tasks;
     }
     // Done there so far, as last heard.
     const IndexSet& done() const { return done_; }
-    const LentRecord& record() const { return record_; }
-    bool held() const { return held_; }
+    const OriginRecord& record() const { return record_; }
+    bool accepted() const { return accepted_; }
 
   private:
     void close();
-    LentRecord record_;
+    OriginRecord record_;
     std::optional<Write> pending_;
     IndexSet done_;
-    bool recalling_ = false, held_ = false;
-    friend struct HandoverPeek;  // the search over all states
+    bool recalling_ = false, accepted_ = false;
+    friend struct DelegationPeek;  // the search over all states
 };
 
 // ---- the neighbour ----
 
-struct HeldRecord {
-    Turn turn = 0;
-    bool holding = false;
+struct ExecutorRecord {
+    DelegationEpoch epoch = 0;
+    bool executing = false;
     IndexSet tasks, done;
-    std::optional<DayTime> until;
+    std::optional<DayTime> deadline;
 };
 
-class Borrower {
+class DelegationExecutor {
   public:
-    explicit Borrower(HeldRecord record = {}) : record_(std::move(record)), until_(record_.until) {}
+    explicit DelegationExecutor(ExecutorRecord record = {})
+        : record_(std::move(record)), deadline_(record_.deadline) {}
 
     // An offer has come. `room`: whether it may be taken. The answer, or nothing: it waits for `next_write`.
     // One that has an end must not be taken (`room`) when the moment to stop is past already.
-    std::optional<Answer> offered(const Offer& offer, bool room);
+    std::optional<DelegationReply> on_offer(const DelegationOffer& offer, bool may_accept);
     // `stop_by`: what has an end before it must stop now. From then on no later end is heard of. True: it has
     // to stop, and hadn't.
-    bool run_out(DayTime stop_by);
+    bool stop_if_due(DayTime stop_by);
     // Until when something of the part may be on a machine here, as far as is known.
-    std::optional<DayTime> until() const { return until_; }
+    std::optional<DayTime> deadline() const { return deadline_; }
     // A recall has come. Nothing: it waits for a write, or for what runs to be gone.
-    std::optional<Answer> recalled(const Recall& recall);
+    std::optional<DelegationReply> on_recall(const DelegationRecall& recall);
     // Tasks have ended well; on record with the next write, and told only then.
-    void finished(const IndexSet& tasks);
+    void on_tasks_done(const IndexSet& tasks);
     // Nothing of the part is on a machine, or may still start there.
-    void gone() { gone_ = true; }
-    void runs() { gone_ = false; }
+    void on_machines_cleared() { machines_cleared_ = true; }
+    void on_tasks_placed() { machines_cleared_ = false; }
 
     // What is to be put on record.
-    std::optional<HeldRecord> next_write() const;
-    void wrote(const HeldRecord& record);
+    std::optional<ExecutorRecord> next_write() const;
+    void on_recorded(const ExecutorRecord& record);
 
     // Whether its tasks may be started here.
-    bool may_run() const { return record_.holding && !stopping_; }
-    bool stopping() const { return record_.holding && stopping_; }
-    const HeldRecord& record() const { return record_; }
+    bool may_start_tasks() const { return record_.executing && !stopping_; }
+    bool stopping() const { return record_.executing && stopping_; }
+    const ExecutorRecord& record() const { return record_; }
 
   private:
-    Answer answer() const;
-    HeldRecord record_;
-    std::optional<HeldRecord> pending_;  // another turn, or the end of this one
-    IndexSet done_;                      // not on record yet
-    std::optional<DayTime> until_;       // as last heard, of the part that is held; on record later
-    bool stopping_ = false, gone_ = true;
-    friend struct HandoverPeek;
+    DelegationReply answer() const;
+    ExecutorRecord record_;
+    std::optional<ExecutorRecord> pending_;  // another turn, or the end of this one
+    IndexSet done_;                          // not on record yet
+    std::optional<DayTime> deadline_;        // as last heard, of the part that is held; on record later
+    bool stopping_ = false, machines_cleared_ = true;
+    friend struct DelegationPeek;
 };
 
 }  // namespace barrowrun::cells
--- a/src/cells/spill.hpp
+++ b/src/cells/offload.hpp
@@ -11,15 +11,15 @@
 namespace barrowrun::cells {
 
 // What a cell tells its neighbours of itself: free room, by what is free on one machine.
-struct Digest {
-    struct Hole {
+struct CapacityDigest {
+    struct FreeCapacity {
         wire::Resources free;
         std::uint32_t machines = 0;
     };
-    std::vector<Hole> holes;    // at most `most_holes`
-    std::uint64_t waiting = 0;  // tasks: a cell in which work waits takes none of others
+    std::vector<FreeCapacity> free_capacities;  // at most `max_entries`
+    std::uint64_t waiting = 0;                  // tasks: a cell in which work waits takes none of others
 
-    static constexpr std::size_t most_holes = 16;
+    static constexpr std::size_t max_entries = 16;
     // Gathers holes of like size; when there are too many sorts, the smaller of two that are nearest stands
     // for both.
     void add(const wire::Resources& free);
@@ -27,11 +27,11 @@
     // As if so many tasks had been placed.
     void take(const wire::Resources& need, std::uint32_t tasks);
 };
-wire::Json to_json(const Digest& d);
-std::optional<Digest> parse_digest(const wire::Json& value);
+wire::Json to_json(const CapacityDigest& d);
+std::optional<CapacityDigest> parse_capacity_digest(const wire::Json& value);
 
 // A job of which tasks wait here, in the queues' order.
-struct Candidate {
+struct OffloadCandidate {
     std::string id, team;
     wire::JobKind kind = wire::JobKind::array;
     wire::Resources need;
@@ -39,33 +39,34 @@
     Clock::duration waited{};
 };
 
-struct Spill {
+struct OffloadDecision {
     std::string job, to;
     std::uint32_t tasks = 0;
 };
 
 // What was sent counts against a digest until one comes that is younger than the answer: the view is old by
 // seconds.
-class Spiller {
+class OffloadPlanner {
   public:
     // `asked`: when the question was sent that it answers.
-    void heard(const std::string& cell, Digest digest, TimePoint asked, TimePoint now);
+    void on_digest(const std::string& cell, CapacityDigest digest, TimePoint requested, TimePoint now);
     // A part was offered; its room is used from here on, whatever a digest from before says.
-    void sent(const std::string& cell, const wire::Resources& need, std::uint32_t tasks);
+    void on_offer_sent(const std::string& cell, const wire::Resources& need, std::uint32_t tasks);
     // The part was taken, or refused: digests asked for from here on know of it.
-    void answered(const std::string& cell, TimePoint now);
+    void on_offer_answered(const std::string& cell, TimePoint now);
     // A cell that refused is left alone for a while.
-    void refused(const std::string& cell, TimePoint now);
+    void on_offer_refused(const std::string& cell, TimePoint now);
 
     // Arrays by ranges, oldest of the highest level first; those that have waited long enough; to the
     // neighbour with most room for them. At most so many parts at once.
-    std::vector<Spill> choose(const Settings& settings, const std::vector<Candidate>& waiting, TimePoint now,
-                              std::size_t most) const;
+    std::vector<OffloadDecision> choose(const Settings& settings,
+                                        const std::vector<OffloadCandidate>& waiting, TimePoint now,
+                                        std::size_t most) const;
 
   private:
     struct View {
-        Digest digest;
-        TimePoint heard{}, blind_until{}, refused_until{};
+        CapacityDigest digest;
+        TimePoint received{}, stale_before{}, backoff_until{};
         std::uint32_t open = 0;  // offers without an answer
     };
     std::map<std::string, View> views_;
--- a/src/cells/records.cpp
+++ b/src/cells/records.cpp
@@ -3,11 +3,11 @@
 namespace barrowrun::cells {
 namespace {
 // A moment of the day, as records and requests carry it; one that is no moment is malformed.
-struct End {
+struct Deadline {
     bool bad = false;
     std::optional<DayTime> at;
 };
-End end_of(const Json& value) {
+Deadline parse_deadline(const Json& value) {
     const Json* v = wire::find(value, "until");
     if (!v) return {};
     constexpr std::uint64_t most = 1ULL << 52;
@@ -15,8 +15,8 @@
     if (!ms || *ms > most) return {true, {}};
     return {false, DayTime(std::chrono::milliseconds(static_cast<std::int64_t>(*ms)))};
 }
-void put_end(Json& out, const std::optional<DayTime>& until) {
-    if (until) out["until"] = static_cast<std::uint64_t>(until->time_since_epoch().count());
+void put_deadline(Json& out, const std::optional<DayTime>& deadline) {
+    if (deadline) out["until"] = static_cast<std::uint64_t>(deadline->time_since_epoch().count());
 }
 
 std::optional<IndexSet> index_set(const Json& value, const char* name) {
@@ -25,116 +25,116 @@
 }
 }  // namespace
 
-std::string lent_key(const std::string& job) {
+std::string origin_key(const std::string& job) {
     return "lent/" + job;
 }
-std::string held_key(const std::string& job) {
+std::string executor_key(const std::string& job) {
     return "held/" + job;
 }
-std::string turn_key(const std::string& job) {
+std::string closed_epoch_key(const std::string& job) {
     return "turns/" + job;
 }
 
-Json to_json(const Lent& l) {
-    Json out{{"to", l.to}, {"turn", l.record.turn}, {"open", l.record.open}};
+Json to_json(const StoredOrigin& l) {
+    Json out{{"to", l.to}, {"turn", l.record.epoch}, {"open", l.record.open}};
     if (!l.record.open) return out;
     out["tasks"] = l.record.tasks.json(wire::max_tasks);
-    put_end(out, l.record.until);
+    put_deadline(out, l.record.deadline);
     return out;
 }
 
-std::optional<Lent> parse_lent(const Json& value) {
+std::optional<StoredOrigin> parse_origin(const Json& value) {
     auto to = wire::text(value, "to");
-    auto turn = wire::count(value, "turn");
+    auto epoch = wire::count(value, "turn");
     auto open = wire::flag(value, "open");
-    if (!to || !turn || !open) return std::nullopt;
-    Lent out;
+    if (!to || !epoch || !open) return std::nullopt;
+    StoredOrigin out;
     out.to = *to;
-    out.record.turn = *turn;
+    out.record.epoch = *epoch;
     out.record.open = *open;
     if (!*open) return out;
     auto tasks = index_set(value, "tasks");
-    auto end = end_of(value);
+    auto end = parse_deadline(value);
     if (!tasks || tasks->empty() || end.bad) return std::nullopt;
     out.record.tasks = std::move(*tasks);
-    out.record.until = end.at;
+    out.record.deadline = end.at;
     return out;
 }
 
-Json to_json(const Held& h) {
+Json to_json(const StoredExecutor& h) {
     Json out{{"owner", h.owner},
-             {"turn", h.record.turn},
+             {"turn", h.record.epoch},
              {"tasks", h.record.tasks.json(wire::max_tasks)},
              {"done", h.record.done.json(wire::max_tasks)},
              {"job", wire::submission_json(h.spec)},
              {"accepted", h.accepted_ms}};
-    put_end(out, h.record.until);
+    put_deadline(out, h.record.deadline);
     return out;
 }
 
-std::optional<Held> parse_held(const Json& value) {
+std::optional<StoredExecutor> parse_executor(const Json& value) {
     auto owner = wire::text(value, "owner");
-    auto turn = wire::count(value, "turn");
+    auto epoch = wire::count(value, "turn");
     auto tasks = index_set(value, "tasks"), done = index_set(value, "done");
     const Json* job = wire::find(value, "job");
     auto accepted = wire::count(value, "accepted");
-    auto end = end_of(value);
-    if (!owner || !turn || !tasks || !done || !job || !accepted || end.bad) return std::nullopt;
+    auto end = parse_deadline(value);
+    if (!owner || !epoch || !tasks || !done || !job || !accepted || end.bad) return std::nullopt;
     auto spec = wire::parse_submission(*job);
     if (!std::holds_alternative<wire::JobSpec>(spec)) return std::nullopt;
-    Held out;
+    StoredExecutor out;
     out.owner = *owner;
-    out.record.turn = *turn;
-    out.record.holding = true;
+    out.record.epoch = *epoch;
+    out.record.executing = true;
     out.record.tasks = std::move(*tasks);
     out.record.done = std::move(*done);
-    out.record.until = end.at;
+    out.record.deadline = end.at;
     out.spec = std::get<wire::JobSpec>(std::move(spec));
     out.accepted_ms = static_cast<std::int64_t>(*accepted);
     return out;
 }
 
-Json over_json(const HeldRecord& record) {
-    return {{"turn", record.turn}, {"done", record.done.json(wire::max_tasks)}};
+Json closed_epoch_json(const ExecutorRecord& record) {
+    return {{"turn", record.epoch}, {"done", record.done.json(wire::max_tasks)}};
 }
 
-std::optional<HeldRecord> parse_over(const Json& value) {
-    auto turn = wire::count(value, "turn");
+std::optional<ExecutorRecord> parse_closed_epoch(const Json& value) {
+    auto epoch = wire::count(value, "turn");
     auto done = index_set(value, "done");
-    if (!turn || !done) return std::nullopt;
-    HeldRecord out;
-    out.turn = *turn;
+    if (!epoch || !done) return std::nullopt;
+    ExecutorRecord out;
+    out.epoch = *epoch;
     out.done = std::move(*done);
     return out;
 }
 
-Json to_json(const Request& r) {
-    Json out{{"from", r.from}, {"id", r.job}, {"turn", r.turn}};
+Json to_json(const DelegationRequest& r) {
+    Json out{{"from", r.from}, {"id", r.job}, {"turn", r.epoch}};
     if (!r.spec) return out;
     out["job"] = wire::submission_json(*r.spec);
     out["tasks"] = r.tasks.json(wire::max_tasks);
     out["accepted"] = r.accepted_ms;
-    put_end(out, r.until);
+    put_deadline(out, r.deadline);
     return out;
 }
 
-std::optional<Request> parse_request(const Json& value) {
+std::optional<DelegationRequest> parse_delegation_request(const Json& value) {
     auto from = wire::text(value, "from"), id = wire::text(value, "id");
-    auto turn = wire::count(value, "turn");
-    if (!from || !id || !wire::valid_job_id(*id) || !turn || *turn == 0) return std::nullopt;
-    Request out;
+    auto epoch = wire::count(value, "turn");
+    if (!from || !id || !wire::valid_job_id(*id) || !epoch || *epoch == 0) return std::nullopt;
+    DelegationRequest out;
     out.from = *from;
     out.job = *id;
-    out.turn = *turn;
+    out.epoch = *epoch;
     const Json* job = wire::find(value, "job");
     if (!job) return out;
     auto spec = wire::parse_submission(*job);
     auto tasks = index_set(value, "tasks");
     auto accepted = wire::count(value, "accepted");
-    auto end = end_of(value);
+    auto end = parse_deadline(value);
     if (!std::holds_alternative<wire::JobSpec>(spec) || !tasks || tasks->empty() || !accepted || end.bad)
         return std::nullopt;
-    out.until = end.at;
+    out.deadline = end.at;
     out.spec = std::get<wire::JobSpec>(std::move(spec));
     if (out.spec->id != *id || tasks->next(out.spec->tasks)) return std::nullopt;
     out.tasks = std::move(*tasks);
@@ -142,25 +142,25 @@
     return out;
 }
 
-Json to_json(const Answer& a) {
-    const char* word = a.word == Answer::Word::holds  ? "holds"
-                       : a.word == Answer::Word::over ? "over"
-                                                      : "later";
-    return {{"word", word}, {"turn", a.turn}, {"done", a.done.json(wire::max_tasks)}};
+Json to_json(const DelegationReply& a) {
+    const char* word = a.status == DelegationReply::Status::executing ? "holds"
+                       : a.status == DelegationReply::Status::closed  ? "over"
+                                                                      : "later";
+    return {{"word", word}, {"turn", a.epoch}, {"done", a.done.json(wire::max_tasks)}};
 }
 
-std::optional<Answer> parse_answer(const Json& value) {
+std::optional<DelegationReply> parse_delegation_reply(const Json& value) {
     auto word = wire::text(value, "word");
-    auto turn = wire::count(value, "turn");
+    auto epoch = wire::count(value, "turn");
     auto done = index_set(value, "done");
-    if (!word || !turn || !done) return std::nullopt;
-    Answer out;
-    out.turn = *turn;
+    if (!word || !epoch || !done) return std::nullopt;
+    DelegationReply out;
+    out.epoch = *epoch;
     out.done = std::move(*done);
     if (*word == "holds")
-        out.word = Answer::Word::holds;
+        out.status = DelegationReply::Status::executing;
     else if (*word == "over")
-        out.word = Answer::Word::over;
+        out.status = DelegationReply::Status::closed;
     else if (*word != "later")
         return std::nullopt;
     return out;
--- a/src/cells/records.hpp
+++ b/src/cells/records.hpp
@@ -10,50 +10,50 @@
 #include <optional>
 #include <string>
 
-#include "cells/handover.hpp"
+#include "cells/delegation.hpp"
 #include "wire/submission.hpp"
 
 namespace barrowrun::cells {
 
 using wire::Json;
 
-std::string lent_key(const std::string& job);
-std::string held_key(const std::string& job);
-std::string turn_key(const std::string& job);
+std::string origin_key(const std::string& job);
+std::string executor_key(const std::string& job);
+std::string closed_epoch_key(const std::string& job);
 
-struct Lent {
+struct StoredOrigin {
     std::string to;
-    LentRecord record;
+    OriginRecord record;
 };
-Json to_json(const Lent& l);
-std::optional<Lent> parse_lent(const Json& value);
+Json to_json(const StoredOrigin& l);
+std::optional<StoredOrigin> parse_origin(const Json& value);
 
-struct Held {
+struct StoredExecutor {
     std::string owner;
-    HeldRecord record;
+    ExecutorRecord record;
     wire::JobSpec spec;
     std::int64_t accepted_ms = 0;  // by the owner
 };
-Json to_json(const Held& h);
-std::optional<Held> parse_held(const Json& value);
+Json to_json(const StoredExecutor& h);
+std::optional<StoredExecutor> parse_executor(const Json& value);
 
 // A turn that is over; of any other record only the turn is kept.
-Json over_json(const HeldRecord& record);
-std::optional<HeldRecord> parse_over(const Json& value);
+Json closed_epoch_json(const ExecutorRecord& record);
+std::optional<ExecutorRecord> parse_closed_epoch(const Json& value);
 
 // Requests of one cell's leader to a node of another.
-struct Request {
+struct DelegationRequest {
     std::string from, job;
-    Turn turn = 0;
+    DelegationEpoch epoch = 0;
     // An offer has these, a recall hasn't.
     std::optional<wire::JobSpec> spec;
     IndexSet tasks;
     std::int64_t accepted_ms = 0;
-    std::optional<DayTime> until;
+    std::optional<DayTime> deadline;
 };
-Json to_json(const Request& r);
-std::optional<Request> parse_request(const Json& value);
-Json to_json(const Answer& a);
-std::optional<Answer> parse_answer(const Json& value);
+Json to_json(const DelegationRequest& r);
+std::optional<DelegationRequest> parse_delegation_request(const Json& value);
+Json to_json(const DelegationReply& a);
+std::optional<DelegationReply> parse_delegation_reply(const Json& value);
 
 }  // namespace barrowrun::cells
--- a/src/config/cells.cpp
+++ b/src/config/cells.cpp
@@ -12,7 +12,7 @@
     for (auto& [name, n] : j.at("neighbours").items()) {
         if (name == out.self) throw ConfigError("neighbours." + name + ": expected another cell than `self`");
         known.insert(name);
-        out.neighbours.push_back({name, n.at("nodes").get<std::vector<std::string>>()});
+        out.peer_cells.push_back({name, n.at("nodes").get<std::vector<std::string>>()});
     }
     for (auto& [team, t] : j.at("teams").items()) {
         cells::TeamRule rule;
@@ -34,7 +34,7 @@
                 ".run_in: expected none, since the team has a limit, which holds in one cell only");
         out.teams[team] = std::move(rule);
     }
-    if (j.contains("spill_after_s")) out.spill_after = secs(j["spill_after_s"].get<double>());
+    if (j.contains("spill_after_s")) out.offload_after = secs(j["spill_after_s"].get<double>());
     if (j.contains("return_after_s"))
         for (auto& [job_class, s] : j["return_after_s"].items())
             out.return_after[job_class] =
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -23,7 +23,7 @@
 struct Settings {
     std::string node_name, zone, listen_address, peer_listen_address, cloud_address, state_service_address;
     std::vector<Member> members;
-    placement::Config rules;
+    placement::Config placement;
     double state_requests_per_s = 100, state_writes_per_s = 50, cloud_requests_per_s = 2, list_lag_s = 5;
     double max_connections = 500;
     // Who changes quotas while running must know it; empty: nobody may.
--- a/tests/cuts_test.cpp
+++ b/tests/cuts_test.cpp
@@ -61,13 +61,13 @@
     std::map<std::string, Worker> workers;
     std::map<std::string, TimePoint> booting;
     // Messages that a cut holds back: pushes to the workers, reports to whoever leads by then.
-    struct Held {
+    struct StoredExecutor {
         std::string machine;
         std::uint64_t fencing_token, agent_epoch;
         std::vector<Command> commands;
         std::optional<WorkerHeartbeat> heartbeat;
     };
-    std::vector<Held> held, late;
+    std::vector<StoredExecutor> held, late;
     // A node in zone b. It loses the leader with the zone, or when no leader is there; its signs of life may
     // be held, and it may be started anew.
     Clock::duration keep = leases::renewal_period(lease_s, cancel_s);
@@ -169,7 +169,7 @@
         w.renewed = now;
         ++kept;
     }
-    void deliver(Held& h) {
+    void deliver(StoredExecutor& h) {
         auto w = workers.find(h.machine);
         if (w == workers.end()) return;
         if (h.heartbeat) {
--- a/tests/fuzz/untrusted.cpp
+++ b/tests/fuzz/untrusted.cpp
@@ -8,8 +8,8 @@
 #include <cstdlib>
 #include <string>
 
+#include "cells/offload.hpp"
 #include "cells/records.hpp"
-#include "cells/spill.hpp"
 #include "depot/depot.hpp"
 #include "lab/state_store.hpp"
 #include "leases/leases.hpp"
@@ -75,12 +75,12 @@
     quota::VersionedQuotas::from_records({{quota::head_key, *body}, {"quota/0a", *body}}, 16 * 1024);
     reads_again<leases::parse_heartbeat>(*body);
     reads_again<leases::parse_renewal_grant>(*body);
-    reads_again<cells::parse_request>(*body);
-    reads_again<cells::parse_answer>(*body);
-    reads_again<cells::parse_digest>(*body);
-    reads_again<cells::parse_lent>(*body);
-    reads_again<cells::parse_held>(*body);
-    cells::parse_over(*body);
+    reads_again<cells::parse_delegation_request>(*body);
+    reads_again<cells::parse_delegation_reply>(*body);
+    reads_again<cells::parse_capacity_digest>(*body);
+    reads_again<cells::parse_origin>(*body);
+    reads_again<cells::parse_executor>(*body);
+    cells::parse_closed_epoch(*body);
     state::parse_finished_record(*body);
     state::parse_assignment_shard(*body);
     try {
--- a/tests/golden_peers_test.cpp
+++ b/tests/golden_peers_test.cpp
@@ -3,8 +3,8 @@
 
 #include <filesystem>
 
+#include "cells/offload.hpp"
 #include "cells/records.hpp"
-#include "cells/spill.hpp"
 #include "golden.hpp"
 #include "golden_samples.hpp"
 #include "leases/leases.hpp"
@@ -46,26 +46,30 @@
 
 TEST(GoldenPeers, PartsOfJobsBetweenCells) {
     GoldenDirectory golden("between_cells");
-    auto rewrite = rewrite_by(cells::parse_request, [](auto& value) { return to_json(value); });
+    auto rewrite = rewrite_by(cells::parse_delegation_request, [](auto& value) { return to_json(value); });
     auto job = testing::job_with_every_field();
+    golden.message_and_malformed("offer",
+                                 to_json(cells::DelegationRequest{"east", "wk-1", 3, job, members({5, 6, 9}),
+                                                                  accepted_ms, end_of_part()}),
+                                 rewrite);
+    golden.message(
+        "offer-without-an-end",
+        to_json(cells::DelegationRequest{"east", "wk-1", 3, job, members({5}), accepted_ms, std::nullopt}),
+        rewrite);
     golden.message_and_malformed(
-        "offer",
-        to_json(cells::Request{"east", "wk-1", 3, job, members({5, 6, 9}), accepted_ms, end_of_part()}),
+        "recall", to_json(cells::DelegationRequest{"east", "wk-1", 3, std::nullopt, {}, 0, std::nullopt}),
         rewrite);
-    golden.message("offer-without-an-end",
-                   to_json(cells::Request{"east", "wk-1", 3, job, members({5}), accepted_ms, std::nullopt}),
-                   rewrite);
+    auto rewrite_answer =
+        rewrite_by(cells::parse_delegation_reply, [](auto& value) { return to_json(value); });
+    using Word = cells::DelegationReply::Word;
+    golden.message_and_malformed(
+        "answer-holds", to_json(cells::DelegationReply{Word::holds, 3, members({5, 6})}), rewrite_answer);
+    golden.message("answer-over", to_json(cells::DelegationReply{Word::over, 3, members({5, 6, 9})}),
+                   rewrite_answer);
+    golden.message("answer-later", to_json(cells::DelegationReply{Word::later, 3, {}}), rewrite_answer);
     golden.message_and_malformed(
-        "recall", to_json(cells::Request{"east", "wk-1", 3, std::nullopt, {}, 0, std::nullopt}), rewrite);
-    auto rewrite_answer = rewrite_by(cells::parse_answer, [](auto& value) { return to_json(value); });
-    using Word = cells::Answer::Word;
-    golden.message_and_malformed("answer-holds", to_json(cells::Answer{Word::holds, 3, members({5, 6})}),
-                                 rewrite_answer);
-    golden.message("answer-over", to_json(cells::Answer{Word::over, 3, members({5, 6, 9})}), rewrite_answer);
-    golden.message("answer-later", to_json(cells::Answer{Word::later, 3, {}}), rewrite_answer);
-    golden.message_and_malformed("free-room",
-                                 to_json(cells::Digest{{{{4.0, 1.0, 16.5}, 3}, {{8.0, 0.0, 32.0}, 1}}, 12}),
-                                 rewrite_by(cells::parse_digest, [](auto& value) { return to_json(value); }));
+        "free-room", to_json(cells::CapacityDigest{{{{4.0, 1.0, 16.5}, 3}, {{8.0, 0.0, 32.0}, 1}}, 12}),
+        rewrite_by(cells::parse_capacity_digest, [](auto& value) { return to_json(value); }));
 }
 
 /// A directory that no test compares would pin nothing.
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -52,7 +52,7 @@
             {"n-8", "10.0.0.2:9", "c4", "b", false, 0, {}}};
 }
 
-cells::Held sample_held(std::optional<DayTime> until) {
+cells::StoredExecutor sample_held(std::optional<DayTime> until) {
     return {"east",
             {3, true, members({5, 6, 9}), members({6}), until},
             testing::job_with_every_field(),
@@ -123,9 +123,9 @@
                              {"machine types", state::catalog_key},
                              {"quotas", quota::key_prefix},
                              {"head of the quotas", quota::head_key},
-                             {"part that is lent", cells::lent_key("wk-1")},
-                             {"part that is held", cells::held_key("wk-1")},
-                             {"part that is over", cells::turn_key("wk-1")}});
+                             {"part that is lent", cells::origin_key("wk-1")},
+                             {"part that is held", cells::executor_key("wk-1")},
+                             {"part that is over", cells::closed_epoch_key("wk-1")}});
     EXPECT_EQ(state::parse_assignment_shard_key("sheets/000012"), 12u);
     EXPECT_FALSE(state::parse_assignment_shard_key("sheet/000012"));
 }
@@ -186,18 +186,19 @@
 
 TEST(GoldenRecords, PartsOfJobsInOtherCells) {
     GoldenDirectory golden("cells");
-    auto rewrite_lent = rewrite_by(cells::parse_lent, [](auto& value) { return to_json(value); });
-    auto rewrite_held = rewrite_by(cells::parse_held, [](auto& value) { return to_json(value); });
+    auto rewrite_lent = rewrite_by(cells::parse_origin, [](auto& value) { return to_json(value); });
+    auto rewrite_held = rewrite_by(cells::parse_executor, [](auto& value) { return to_json(value); });
     golden.message_and_malformed(
-        "lent", to_json(cells::Lent{"west", {3, true, members({5, 6, 9}), moment(accepted_ms + 60'000)}}),
+        "lent",
+        to_json(cells::StoredOrigin{"west", {3, true, members({5, 6, 9}), moment(accepted_ms + 60'000)}}),
         rewrite_lent);
-    golden.message("lent-without-an-end", to_json(cells::Lent{"west", {3, true, members({5}), {}}}),
+    golden.message("lent-without-an-end", to_json(cells::StoredOrigin{"west", {3, true, members({5}), {}}}),
                    rewrite_lent);
-    golden.message("lent-and-closed", to_json(cells::Lent{"west", {4, false, {}, {}}}), rewrite_lent);
+    golden.message("lent-and-closed", to_json(cells::StoredOrigin{"west", {4, false, {}, {}}}), rewrite_lent);
     golden.message_and_malformed("held", to_json(sample_held(moment(accepted_ms + 60'000))), rewrite_held);
     golden.message("held-without-an-end", to_json(sample_held(std::nullopt)), rewrite_held);
-    golden.message_and_malformed("over", cells::over_json({3, false, {}, members({5, 6}), {}}),
-                                 rewrite_by(cells::parse_over, cells::over_json));
+    golden.message_and_malformed("over", cells::closed_epoch_json({3, false, {}, members({5, 6}), {}}),
+                                 rewrite_by(cells::parse_closed_epoch, cells::closed_epoch_json));
 }
 
 TEST(GoldenRecords, Quotas) {
--- a/tests/spill_test.cpp
+++ b/tests/offload_test.cpp
@@ -1,4 +1,4 @@
-#include "cells/spill.hpp"
+#include "cells/offload.hpp"
 
 #include <random>
 
@@ -17,28 +17,28 @@
 Settings two() {
     Settings s;
     s.self = "east";
-    s.neighbours = {{"north", {"127.0.0.1:1"}}, {"west", {"127.0.0.1:2"}}};
+    s.peer_cells = {{"north", {"127.0.0.1:1"}}, {"west", {"127.0.0.1:2"}}};
     s.teams["desk"] = {"east", {"west"}};
     s.teams["home"] = {"east", {}};
     return s;
 }
-Digest room(std::uint32_t machines, double cpus = 4) {
-    Digest d;
+CapacityDigest room(std::uint32_t machines, double cpus = 4) {
+    CapacityDigest d;
     for (std::uint32_t i = 0; i < machines; ++i) d.add({cpus, 0, 32});
     return d;
 }
-Candidate job(const std::string& id, std::uint32_t waiting, const std::string& team = "desk") {
+OffloadCandidate job(const std::string& id, std::uint32_t waiting, const std::string& team = "desk") {
     return {id, team, wire::JobKind::array, {1, 0, 1}, waiting, 60s};
 }
 
 }  // namespace
 
-TEST(Spill, GoesWhereTheTeamMayAndRoomIsKnown) {
-    Spiller s;
+TEST(Offload, GoesWhereTheTeamMayAndRoomIsKnown) {
+    OffloadPlanner s;
     EXPECT_TRUE(s.choose(two(), {job("wk-1", 10)}, t0, 8).empty()) << "nothing is known of the others";
-    s.heard("north", room(100), t0, t0);
+    s.on_digest("north", room(100), t0, t0);
     EXPECT_TRUE(s.choose(two(), {job("wk-1", 10)}, t0, 8).empty()) << "its team may not run there";
-    s.heard("west", room(2), t0, t0);
+    s.on_digest("west", room(2), t0, t0);
     auto out = s.choose(two(), {job("wk-1", 5), job("wk-2", 10), job("wk-3", 9, "home")}, t0, 8);
     ASSERT_EQ(out.size(), 2u);
     EXPECT_EQ(out[0].tasks, 5u);
@@ -50,38 +50,38 @@
     EXPECT_TRUE(s.choose(two(), {young}, t0, 8).empty());
     auto full = room(50);
     full.waiting = 1;
-    s.heard("west", full, t0, t0);
+    s.on_digest("west", full, t0, t0);
     EXPECT_TRUE(s.choose(two(), {job("wk-1", 5)}, t0, 8).empty()) << "work waits there, too";
 }
 
 // The view is old by seconds: what was sent since is not in it.
-TEST(Spill, WhatWasSentCountsUntilADigestKnowsOfIt) {
-    Spiller s;
-    s.heard("west", room(2), t0, t0);
-    s.sent("west", {1, 0, 1}, 8);
+TEST(Offload, WhatWasSentCountsUntilADigestKnowsOfIt) {
+    OffloadPlanner s;
+    s.on_digest("west", room(2), t0, t0);
+    s.on_offer_sent("west", {1, 0, 1}, 8);
     EXPECT_TRUE(s.choose(two(), {job("wk-2", 5)}, t0, 8).empty());
-    s.heard("west", room(2), t0 + 1s, t0 + 1s);
+    s.on_digest("west", room(2), t0 + 1s, t0 + 1s);
     EXPECT_TRUE(s.choose(two(), {job("wk-2", 5)}, t0 + 1s, 8).empty()) << "the part is not answered yet";
-    s.answered("west", t0 + 2s);
-    s.heard("west", room(2), t0 + 1900ms, t0 + 2100ms);
+    s.on_offer_answered("west", t0 + 2s);
+    s.on_digest("west", room(2), t0 + 1900ms, t0 + 2100ms);
     EXPECT_TRUE(s.choose(two(), {job("wk-2", 5)}, t0 + 2100ms, 8).empty()) << "asked before that";
-    s.heard("west", room(2), t0 + 2200ms, t0 + 2300ms);
+    s.on_digest("west", room(2), t0 + 2200ms, t0 + 2300ms);
     EXPECT_EQ(s.choose(two(), {job("wk-2", 5)}, t0 + 2300ms, 8).size(), 1u);
-    s.refused("west", t0 + 3s);
-    s.heard("west", room(2), t0 + 4s, t0 + 4s);
+    s.on_offer_refused("west", t0 + 3s);
+    s.on_digest("west", room(2), t0 + 4s, t0 + 4s);
     EXPECT_TRUE(s.choose(two(), {job("wk-2", 5)}, t0 + 4s, 8).empty()) << "it refused a moment ago";
 }
 
-TEST(Spill, ADigestNeverPromisesMoreThanThereIs) {
+TEST(Offload, ADigestNeverPromisesMoreThanThereIs) {
     std::mt19937 random(7);
     for (int turn = 0; turn < 300; ++turn) {
-        Digest d;
+        CapacityDigest d;
         std::vector<wire::Resources> machines;
         for (int i = 0; i < 60; ++i) {
             machines.push_back({static_cast<double>(random() % 33), 0, static_cast<double>(random() % 129)});
             d.add(machines.back());
         }
-        EXPECT_LE(d.holes.size(), Digest::most_holes);
+        EXPECT_LE(d.free_capacities.size(), CapacityDigest::max_entries);
         for (double cpus : {1.0, 3.0, 8.0}) {
             const wire::Resources need{cpus, 0, 2 * cpus};
             std::uint32_t fits = 0;
@@ -92,21 +92,21 @@
             used.take(need, 5);
             EXPECT_LE(used.fits(need) + std::min(5u, d.fits(need)), d.fits(need));
         }
-        auto again = parse_digest(*wire::decode(wire::encode(to_json(d))));
+        auto again = parse_capacity_digest(*wire::decode(wire::encode(to_json(d))));
         ASSERT_TRUE(again);
         EXPECT_EQ(again->fits({1, 0, 1}), d.fits({1, 0, 1}));
     }
-    EXPECT_FALSE(parse_digest({{"holes", {{1, 2}}}, {"waiting", 0}}));
+    EXPECT_FALSE(parse_capacity_digest({{"holes", {{1, 2}}}, {"waiting", 0}}));
 }
 
 TEST(CellRecords, AreReadAsTheyWereWritten) {
     Fleet f;
-    Lent l;
+    StoredOrigin l;
     l.to = "west";
     l.record.turn = 3;
     l.record.open = true;
     for (std::uint32_t i = 0; i < 400; i += 2) l.record.tasks.insert(i);
-    auto lent = parse_lent(to_json(l));
+    auto lent = parse_origin(to_json(l));
     ASSERT_TRUE(lent);
     EXPECT_EQ(lent->record.tasks.ranges(), l.record.tasks.ranges());
     EXPECT_EQ(lent->record.turn, 3u);
@@ -133,7 +133,7 @@
         EXPECT_EQ(answer->word, word);
         EXPECT_EQ(answer->done.size(), 1u);
     }
-    EXPECT_FALSE(parse_held(wire::Json::object()));
+    EXPECT_FALSE(parse_executor(wire::Json::object()));
 }
 
 TEST(CellSettings, FaultsAreNamedByPlace) {
@@ -172,18 +172,18 @@
     const DayTime end{1'790'000'000'123ms};
     IndexSet tasks;
     tasks.insert(1);
-    Lent lent{"west", {3, true, tasks, end}};
-    ASSERT_TRUE(parse_lent(to_json(lent)));
-    EXPECT_EQ(parse_lent(to_json(lent))->record.until, end);
+    StoredOrigin lent{"west", {3, true, tasks, end}};
+    ASSERT_TRUE(parse_origin(to_json(lent)));
+    EXPECT_EQ(parse_origin(to_json(lent))->record.until, end);
     Request request{"east", "wk-1", 3, job_of_two, tasks, 5, end};
     ASSERT_TRUE(parse_request(to_json(request)));
     EXPECT_EQ(parse_request(to_json(request))->until, end);
-    Held held;
+    StoredExecutor held;
     held.owner = "east", held.spec = job_of_two, held.accepted_ms = 5;
     held.record.turn = 3, held.record.holding = true;
     held.record.tasks = tasks, held.record.until = end;
-    ASSERT_TRUE(parse_held(to_json(held)));
-    EXPECT_EQ(parse_held(to_json(held))->record.until, end);
+    ASSERT_TRUE(parse_executor(to_json(held)));
+    EXPECT_EQ(parse_executor(to_json(held))->record.until, end);
     auto bad = to_json(request);
     bad["until"] = -1;
     EXPECT_FALSE(parse_request(bad));
@@ -225,7 +225,7 @@
     EXPECT_EQ(f.cluster->queue().waiting(), 0u);
 }
 
-TEST(Lent, TasksThatAreAwayAreNotStartedAndKeepTheJobOpen) {
+TEST(StoredOrigin, TasksThatAreAwayAreNotStartedAndKeepTheJobOpen) {
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1", 10));
@@ -250,7 +250,7 @@
     EXPECT_EQ(f.cluster->finished_job("wk-1")->state, wire::JobState::done);
 }
 
-TEST(Lent, WhatComesBackUndoneWaitsAgain) {
+TEST(StoredOrigin, WhatComesBackUndoneWaitsAgain) {
     Fleet f;
     auto& job = f.add(f.spec("wk-1", 10));
     auto away = f.cluster->delegate(job, 4);
--- a/tests/sim/site.cpp
+++ b/tests/sim/site.cpp
@@ -212,10 +212,10 @@
     char id[16];
     std::snprintf(id, sizeof id, "wk-%06u", static_cast<unsigned>(++next_job_ % 1'000'000));
     s.id = id;
-    s.job_class = sort == wire::JobKind::service ? "desk" : sort == wire::JobKind::gang ? "gang" : "batch";
+    s.job_class = kind == wire::JobKind::service ? "desk" : kind == wire::JobKind::gang ? "gang" : "batch";
     s.team = team;
-    s.kind = sort;
-    s.priority = sort == wire::JobKind::service ? wire::Priority::production : wire::Priority::normal;
+    s.kind = kind;
+    s.priority = kind == wire::JobKind::service ? wire::Priority::production : wire::Priority::normal;
     s.tasks = tasks;
     s.need = {1, 0, 4};
     s.image = "img-1";
