--- a/tests/assignment_shards_test.cpp
+++ b/tests/assignment_shards_test.cpp
@@ -87,16 +87,16 @@
 
 TEST(AssignmentShards, OneThatGrewTooLargeIsWrittenOnlyAfterWhatItGaveAway) {
     AssignmentShards s(1000);
-    for (int i = 0; i < 3; ++i) s.start(name_of(i), {Priority::normal, {}});
+    for (int i = 0; i < 3; ++i) s.add_start(name_of(i), {Priority::normal, {}});
     ASSERT_EQ(s.due(false).size(), 1u);
-    EXPECT_FALSE(s.fits(0, 1200));
+    EXPECT_FALSE(s.record_size(0, 1200));
     EXPECT_EQ(s.due(false), std::vector<AssignmentShards::ShardId>{1}) << "the part that moved goes first";
-    s.taken(1);
+    s.on_write_sent(1);
     EXPECT_TRUE(s.due(true).empty());
-    s.failed(1);
+    s.on_write_failed(1);
     EXPECT_EQ(s.due(false), std::vector<AssignmentShards::ShardId>{1});
-    s.taken(1);
-    s.durable(1);
+    s.on_write_sent(1);
+    s.on_write_durable(1);
     EXPECT_EQ(s.due(false), std::vector<AssignmentShards::ShardId>{0});
     EXPECT_EQ(s.machines(0).size() + s.machines(1).size(), 3u);
 }
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -159,8 +159,8 @@
     Fleet f;
     f.cluster->add_machine("n-1", "small", "a", false, f.now);
     Autoscaler r;
-    EXPECT_TRUE(r.plan(*f.cluster, f.now + 30s).give_back.empty());
-    EXPECT_EQ(r.plan(*f.cluster, f.now + 200s).give_back, std::vector<std::string>{"n-1"});
+    EXPECT_TRUE(r.plan(*f.cluster, f.now + 30s).scale_in.empty());
+    EXPECT_EQ(r.plan(*f.cluster, f.now + 200s).scale_in, std::vector<std::string>{"n-1"});
 }
 
 namespace {
@@ -193,10 +193,10 @@
     Fleet f(rules);
     two_half_empty(f);
     Autoscaler r;
-    EXPECT_FALSE(r.plan(*f.cluster, f.now).empty.empty());
+    EXPECT_FALSE(r.plan(*f.cluster, f.now).drain.empty());
     f.machine("n-1").images.clear();
     f.machine("n-2").images.clear();
-    EXPECT_TRUE(r.plan(*f.cluster, f.now).empty.empty()) << "a fetch would be an outage";
+    EXPECT_TRUE(r.plan(*f.cluster, f.now).drain.empty()) << "a fetch would be an outage";
 }
 
 TEST(Autoscaler, RoomKeptForNewServicesIsNotGivenUp) {
@@ -205,5 +205,5 @@
     rules.headroom_min = rules.headroom_max = 3;
     Fleet f(rules);
     two_half_empty(f);
-    EXPECT_TRUE(Autoscaler().plan(*f.cluster, f.now).empty.empty());
+    EXPECT_TRUE(Autoscaler().plan(*f.cluster, f.now).drain.empty());
 }
--- a/tests/golden_peers_test.cpp
+++ b/tests/golden_peers_test.cpp
@@ -61,12 +61,13 @@
         rewrite);
     auto rewrite_answer =
         rewrite_by(cells::parse_delegation_reply, [](auto& value) { return to_json(value); });
-    using Word = cells::DelegationReply::Word;
-    golden.message_and_malformed(
-        "answer-holds", to_json(cells::DelegationReply{Word::holds, 3, members({5, 6})}), rewrite_answer);
-    golden.message("answer-over", to_json(cells::DelegationReply{Word::over, 3, members({5, 6, 9})}),
+    using Status = cells::DelegationReply::Status;
+    golden.message_and_malformed("answer-holds",
+                                 to_json(cells::DelegationReply{Status::executing, 3, members({5, 6})}),
+                                 rewrite_answer);
+    golden.message("answer-over", to_json(cells::DelegationReply{Status::closed, 3, members({5, 6, 9})}),
                    rewrite_answer);
-    golden.message("answer-later", to_json(cells::DelegationReply{Word::later, 3, {}}), rewrite_answer);
+    golden.message("answer-later", to_json(cells::DelegationReply{Status::undecided, 3, {}}), rewrite_answer);
     golden.message_and_malformed(
         "free-room", to_json(cells::CapacityDigest{{{{4.0, 1.0, 16.5}, 3}, {{8.0, 0.0, 32.0}, 1}}, 12}),
         rewrite_by(cells::parse_capacity_digest, [](auto& value) { return to_json(value); }));
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -87,7 +87,7 @@
     return {6, {sample_node()}, {"lab/old"}, 90.0, "an operator", "a second hall", "n-1"};
 }
 
-Json writes_json(const std::vector<quota::VersionedQuotas::Written>& writes) {
+Json writes_json(const std::vector<quota::VersionedQuotas::RecordWrite>& writes) {
     Json out = Json::array();
     for (auto& written : writes) out.push_back({{"key", written.key}, {"value", written.value}});
     return out;
@@ -121,7 +121,7 @@
                              {"rental of unknown outcome", state::provisioning_key("r-1")},
                              {"leader", state::leader_key},
                              {"machine types", state::catalog_key},
-                             {"quotas", quota::key_prefix},
+                             {"quotas", quota::record_prefix},
                              {"head of the quotas", quota::head_key},
                              {"part that is lent", cells::origin_key("wk-1")},
                              {"part that is held", cells::executor_key("wk-1")},
@@ -207,7 +207,8 @@
         "node", to_json(sample_node()),
         rewrite_by(quota::parse_quota_entry, [](auto& value) { return to_json(value); }));
     golden.message_and_malformed(
-        "history-entry", to_json(quota::Entry{7, accepted_ms, "an operator", "a second hall", "n-1", 2, 1}),
+        "history-entry",
+        to_json(quota::ChangeSummary{7, accepted_ms, "an operator", "a second hall", "n-1", 2, 1}),
         rewrite_by(quota::parse_change_summary, [](auto& value) { return to_json(value); }));
     golden.message_and_malformed("change", to_json(change_with_every_field()),
                                  testing::RewriteOrWhy([](const Json& document) -> testing::Rewritten {
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -14,7 +14,7 @@
     Clock::duration keep = renewal_period(20, 40);
     RenewalBound bound{{"north", "south"}, keep, now, 7};
     LeaseRenewer renewer{"b", keep, now - 100s};
-    wire::WorkerHeartbeat heartbeat() {
+    wire::WorkerHeartbeat worker_heartbeat() {
         wire::WorkerHeartbeat r;
         r.machine = "n-1", r.zone = "b", r.fencing_token = 7;
         return r;
@@ -37,32 +37,33 @@
     now += 1s;
     exchange();
     const auto contact = now;
-    EXPECT_FALSE(renewer.may_renew_cut_off(heartbeat(), now, true)) << "it has just promised to keep nothing";
+    EXPECT_FALSE(renewer.may_renew_cut_off(worker_heartbeat(), now, true))
+        << "it has just promised to keep nothing";
     now += 3s;
-    EXPECT_FALSE(renewer.may_renew_cut_off(heartbeat(), now, false))
+    EXPECT_FALSE(renewer.may_renew_cut_off(worker_heartbeat(), now, false))
         << "the state service or the leader is heard";
-    EXPECT_TRUE(renewer.may_renew_cut_off(heartbeat(), now, true));
+    EXPECT_TRUE(renewer.may_renew_cut_off(worker_heartbeat(), now, true));
     now = contact + keep - 1ms;
-    EXPECT_TRUE(renewer.may_renew_cut_off(heartbeat(), now, true));
+    EXPECT_TRUE(renewer.may_renew_cut_off(worker_heartbeat(), now, true));
     now = contact + keep;
-    EXPECT_FALSE(renewer.may_renew_cut_off(heartbeat(), now, true));
+    EXPECT_FALSE(renewer.may_renew_cut_off(worker_heartbeat(), now, true));
 }
 
 TEST_F(LeaseRenewal, OnlyForWorkersOfItsZoneThatTakeItsTokenAndHoldNothingCancelled) {
-    EXPECT_FALSE(renewer.may_renew_cut_off(heartbeat(), now, true)) << "no leader has entitled it";
+    EXPECT_FALSE(renewer.may_renew_cut_off(worker_heartbeat(), now, true)) << "no leader has entitled it";
     exchange({"n-2"});
     now += 4s;
-    auto r = heartbeat();
+    auto r = worker_heartbeat();
     EXPECT_TRUE(renewer.may_renew_cut_off(r, now, true));
     r.zone = "a";
     EXPECT_FALSE(renewer.may_renew_cut_off(r, now, true));
-    r = heartbeat(), r.fencing_token = 8;
+    r = worker_heartbeat(), r.fencing_token = 8;
     EXPECT_FALSE(renewer.may_renew_cut_off(r, now, true)) << "the worker would drop it, and stay";
-    r = heartbeat(), r.machine = "n-2";
+    r = worker_heartbeat(), r.machine = "n-2";
     EXPECT_FALSE(renewer.may_renew_cut_off(r, now, true)) << "it may hold a task of a cancelled job";
     renewer.granted(now, now, {7, 1, true, {}});
     now += 4s;
-    EXPECT_FALSE(renewer.may_renew_cut_off(heartbeat(), now, true)) << "too many to name";
+    EXPECT_FALSE(renewer.may_renew_cut_off(worker_heartbeat(), now, true)) << "too many to name";
 }
 
 // A leader that has not read the records yet is no better off than a node that was cut off: see
@@ -105,7 +106,7 @@
     now += 1s;
     exchange();
     now += 5s;
-    ASSERT_TRUE(renewer.may_renew_cut_off(heartbeat(), now, true));
+    ASSERT_TRUE(renewer.may_renew_cut_off(worker_heartbeat(), now, true));
     const auto kept = now;
     now += 10s;
     bound.heard("north", {"a", 0, 0, 0, false, 0}, now, false);
@@ -125,7 +126,7 @@
     auto heartbeat = renewer.heartbeat(now);  // promises, and is held
     ASSERT_TRUE(heartbeat.pauses_renewal);
     now += 12s;
-    ASSERT_TRUE(renewer.may_renew_cut_off(heartbeat(), now, true));
+    ASSERT_TRUE(renewer.may_renew_cut_off(worker_heartbeat(), now, true));
     now += 1s;
     bound.heard("south", heartbeat, now, false);
     EXPECT_GE(bound.latest_renewal("b", now), now - 1s) << "its promise is long over";
--- a/tests/offload_test.cpp
+++ b/tests/offload_test.cpp
@@ -103,34 +103,35 @@
     Fleet f;
     StoredOrigin l;
     l.to = "west";
-    l.record.turn = 3;
+    l.record.epoch = 3;
     l.record.open = true;
     for (std::uint32_t i = 0; i < 400; i += 2) l.record.tasks.insert(i);
     auto lent = parse_origin(to_json(l));
     ASSERT_TRUE(lent);
     EXPECT_EQ(lent->record.tasks.ranges(), l.record.tasks.ranges());
-    EXPECT_EQ(lent->record.turn, 3u);
-    Request r;
-    r.from = "east", r.job = "wk-7", r.turn = 2, r.accepted_ms = 5;
+    EXPECT_EQ(lent->record.epoch, 3u);
+    DelegationRequest r;
+    r.from = "east", r.job = "wk-7", r.epoch = 2, r.accepted_ms = 5;
     r.spec = f.spec("wk-7", 10);
     r.tasks.insert_range(4, 10);
-    auto request = parse_request(*wire::decode(wire::encode(to_json(r))));
+    auto request = parse_delegation_request(*wire::decode(wire::encode(to_json(r))));
     ASSERT_TRUE(request);
     EXPECT_EQ(request->tasks.size(), 6u);
     EXPECT_EQ(request->spec->tasks, 10u);
     r.tasks.insert_range(10, 11);
-    EXPECT_FALSE(parse_request(to_json(r))) << "a task that the job doesn't have";
+    EXPECT_FALSE(parse_delegation_request(to_json(r))) << "a task that the job doesn't have";
     r.spec.reset();
-    EXPECT_TRUE(parse_request(to_json(r))) << "a recall";
-    r.turn = 0;
-    EXPECT_FALSE(parse_request(to_json(r)));
-    for (auto word : {Answer::Word::later, Answer::Word::holds, Answer::Word::over}) {
-        Answer a;
-        a.word = word, a.turn = 9;
+    EXPECT_TRUE(parse_delegation_request(to_json(r))) << "a recall";
+    r.epoch = 0;
+    EXPECT_FALSE(parse_delegation_request(to_json(r)));
+    for (auto status : {DelegationReply::Status::undecided, DelegationReply::Status::executing,
+                        DelegationReply::Status::closed}) {
+        DelegationReply a;
+        a.status = status, a.epoch = 9;
         a.done.insert(5);
-        auto answer = parse_answer(to_json(a));
+        auto answer = parse_delegation_reply(to_json(a));
         ASSERT_TRUE(answer);
-        EXPECT_EQ(answer->word, word);
+        EXPECT_EQ(answer->status, status);
         EXPECT_EQ(answer->done.size(), 1u);
     }
     EXPECT_FALSE(parse_executor(wire::Json::object()));
@@ -174,22 +175,22 @@
     tasks.insert(1);
     StoredOrigin lent{"west", {3, true, tasks, end}};
     ASSERT_TRUE(parse_origin(to_json(lent)));
-    EXPECT_EQ(parse_origin(to_json(lent))->record.until, end);
-    Request request{"east", "wk-1", 3, job_of_two, tasks, 5, end};
-    ASSERT_TRUE(parse_request(to_json(request)));
-    EXPECT_EQ(parse_request(to_json(request))->until, end);
+    EXPECT_EQ(parse_origin(to_json(lent))->record.deadline, end);
+    DelegationRequest request{"east", "wk-1", 3, job_of_two, tasks, 5, end};
+    ASSERT_TRUE(parse_delegation_request(to_json(request)));
+    EXPECT_EQ(parse_delegation_request(to_json(request))->deadline, end);
     StoredExecutor held;
     held.owner = "east", held.spec = job_of_two, held.accepted_ms = 5;
-    held.record.turn = 3, held.record.holding = true;
-    held.record.tasks = tasks, held.record.until = end;
+    held.record.epoch = 3, held.record.executing = true;
+    held.record.tasks = tasks, held.record.deadline = end;
     ASSERT_TRUE(parse_executor(to_json(held)));
-    EXPECT_EQ(parse_executor(to_json(held))->record.until, end);
+    EXPECT_EQ(parse_executor(to_json(held))->record.deadline, end);
     auto bad = to_json(request);
     bad["until"] = -1;
-    EXPECT_FALSE(parse_request(bad));
+    EXPECT_FALSE(parse_delegation_request(bad));
     auto without = request;
-    without.until.reset();
-    EXPECT_FALSE(parse_request(to_json(without))->until);
+    without.deadline.reset();
+    EXPECT_FALSE(parse_delegation_request(to_json(without))->deadline);
 }
 
 // A part at the neighbour: only its tasks are started, what is done stays with the worker until it is on
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -134,7 +134,7 @@
         {"![]", "<root>"},
         {"!{}", "nodes"},
         {R"!(!{"nodes":{}})!", "nodes"},
-        {R"!(!{"nodes":[],"over_limit_grace_s":-1})!", "shrink_s"},
+        {R"!(!{"nodes":[],"shrink_s":-1})!", "shrink_s"},
         {R"!(!{"nodes":[],"shrink":1})!", "shrink"},
     };
     static_assert(std::size(cases) >= 40);
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -86,7 +86,7 @@
     EXPECT_EQ(f.cluster->find_machine("n-1"), nullptr);
     f.cluster->on_heartbeat(f.heartbeat("n-2", {{f.on("n-2")[0], TaskState::running, Cause::none, false}}),
                             true, f.now);
-    EXPECT_FALSE(f.machine("n-2").assignments.begin()->second.stop);
+    EXPECT_FALSE(f.machine("n-2").assignments.begin()->second.stop_requested);
 }
 
 TEST(LateHeartbeat, OfAMachineThatAPredecessorReturnedStopsNothing) {
@@ -111,11 +111,11 @@
     f.cluster->on_heartbeat(held, true, f.now);  // shows the predecessor's token
     f.cluster->on_heartbeat(f.heartbeat("n-2", {{real, TaskState::running, Cause::none, false}}, 20), true,
                             f.now);
-    EXPECT_FALSE(f.machine("n-2").assignments.at(real).stop);
+    EXPECT_FALSE(f.machine("n-2").assignments.at(real).stop_requested);
     // One that has shown this leader's token is real.
     auto alive = f.heartbeat("n-1", {{old, TaskState::running, Cause::none, false}}, 20);
     f.cluster->on_heartbeat(alive, true, f.now);
     f.cluster->on_heartbeat(f.heartbeat("n-2", {{real, TaskState::running, Cause::none, false}}, 20), true,
                             f.now);
-    EXPECT_TRUE(f.machine("n-2").assignments.at(real).stop);
+    EXPECT_TRUE(f.machine("n-2").assignments.at(real).stop_requested);
 }
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -44,7 +44,7 @@
 
 TEST(Records, SurviveARoundTrip) {
     MachineRecord m{"n-7", "10.0.0.1:9", "g8", "a", true, 77, {{{"wk-1", 3}, (5ULL << 40) + 1}}};
-    auto back = parse_machine(*wire::decode(wire::encode(to_json(m))));
+    auto back = parse_machine_record(*wire::decode(wire::encode(to_json(m))));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->attempts, m.attempts);
     EXPECT_EQ(back->provisioned_ms, 77);
--- a/tests/retries_test.cpp
+++ b/tests/retries_test.cpp
@@ -71,7 +71,7 @@
     auto* job = f.cluster->find_job("wk-1");
     ASSERT_TRUE(job);
     EXPECT_EQ(job->job_state(), wire::JobState::failed);
-    EXPECT_TRUE(f.machine("n-1").assignments.at(other).stop);
+    EXPECT_TRUE(f.machine("n-1").assignments.at(other).stop_requested);
     f.cluster->on_heartbeat(f.heartbeat("n-1", {}), true, f.now);
     f.write();
     EXPECT_EQ(f.past(), wire::JobState::failed);
--- a/tests/rules/faults.sh
+++ b/tests/rules/faults.sh
@@ -45,7 +45,7 @@
 case_hangs_without_cloud() {
     slow_rules "$work/site"; start; sleep 0.7
     fault cut cloud --for 11; fault hang machine --for 8; fault hang worker --for 7; finish 0; sleep 9; as_make
-    grep -qs 'the lease has run out' "$(dirname "$BARROWRUN_DEPOT")"/machines/*/log || say "no lease ran out"
+    grep -qs 'the lease has expired' "$(dirname "$BARROWRUN_DEPOT")"/machines/*/log || say "no lease ran out"
 }
 case_state_refuses() { slow_rules "$work/site"; start; sleep 0.7; fault refuse state --for 10; finish 0; as_make; }
 case_state_silent() { slow_rules "$work/site"; start; sleep 0.7; fault cut state --for 5; finish 0; as_make; }
--- a/tests/site/cut.sh
+++ b/tests/site/cut.sh
@@ -20,7 +20,7 @@
     [ $SECONDS -lt $end ] || { say "the job is not done within 60 s"; break; }
     sleep 0.5
 done
-ran_out=$(grep -ls 'the lease has run out' "$site"/machines/*/log | wc -l)
+ran_out=$(grep -ls 'the lease has expired' "$site"/machines/*/log | wc -l)
 if [ "$expected" = kept ]; then
     [ "$ran_out" -eq 0 ] || say "leases ran out on $ran_out machines"
     [ "$(starts)" -eq 4 ] || say "$(starts) starts of 4 tasks"
--- a/tests/site/zone.sh
+++ b/tests/site/zone.sh
@@ -48,7 +48,7 @@
 twice=$(ran_twice beats)
 [ -z "$twice" ] || say "ran twice: $twice"
 grep -qs 'keeps the leases of its zone' "$site"/logs/barrow-* || say "no node kept a lease"
-grep -qs 'the lease has run out' "$site"/machines/*/log || say "no lease ran out: the cut was too short to tell anything"
+grep -qs 'the lease has expired' "$site"/machines/*/log || say "no lease ran out: the cut was too short to tell anything"
 for job in "$desk" "$pair"; do "$ctl" cancel "$job" > /dev/null; done
 sleep 1
 echo "$((1 - bad)) passed, $bad failed"
--- a/tests/worker_test.cpp
+++ b/tests/worker_test.cpp
@@ -18,7 +18,7 @@
     wire::JobSpec spec(double cpus = 1, wire::JobKind kind = wire::JobKind::array) {
         wire::JobSpec s;
         s.id = "wk-1";
-        s.kind = sort;
+        s.kind = kind;
         s.tasks = 4;
         s.need = {cpus, 0, 1};
         return s;
@@ -137,7 +137,7 @@
     Worker w;
     w.now += 10s;
     EXPECT_TRUE(w.m.answered(5, 1, {}, w.now - 8s, w.now));
-    EXPECT_EQ(w.m.lease_expiry(), w.now - 8s + 20s);
+    EXPECT_EQ(w.m.lease_end(), w.now - 8s + 20s);
 }
 
 TEST(Worker, KillsWithGraceSaveAndOthersDoNot) {
@@ -152,11 +152,11 @@
     EXPECT_FALSE(w.m.may_publish(a, w.now));
     w.m.exited(a, false, true);
     EXPECT_EQ(w.cause(a), Cause::stopped);
-    EXPECT_TRUE(w.status(a)->saved);
+    EXPECT_TRUE(w.status(a)->checkpointed);
     w.push(Verb::kill, b, 1);  // less than it needs to save
     EXPECT_EQ(w.actions(), std::vector<Action::Kind>{Action::kill});
     w.m.exited(b, false, false);
-    EXPECT_FALSE(w.status(b)->saved);
+    EXPECT_FALSE(w.status(b)->checkpointed);
     // Grace that runs out, and a second kill without any, end what is saving.
     w.push(Verb::kill, c, 5);
     w.actions();
