--- a/src/api/cell_delegations.cpp
+++ b/src/api/cell_delegations.cpp
@@ -45,7 +45,7 @@
     if (!executor_records.ok) co_return false;
     for (auto& item : executor_records.items) {
         auto record = cells::parse_executor(item.value);
-        // What can't be read may have an end.
+        // What can't be read may have a deadline.
         const auto end = record ? record->record.deadline : DayTime{};
         if (end) earliest_deadline_ = std::min(earliest_deadline_.value_or(*end), *end);
         executor_records_.emplace_back(item.key, std::move(record));
@@ -76,10 +76,10 @@
         const auto job = item.key.substr(5);
         auto record = cells::parse_origin(item.value);
         if (!record) {
-            spdlog::error("the record {} cannot be read: its job is left alone", item.key);
+            spdlog::error("delegation record {} cannot be read: its job is left alone", item.key);
             continue;
         }
-        // Open parts stay away until their neighbour says that they are over.
+        // Open shards stay away until their executor says that they are over.
         if (auto* j = host_.cluster.find_job(job); j && record->record.open)
             host_.cluster.delegate(*j, record->record.tasks);
         delegated_[job] = {record->to, cells::DelegationOrigin(record->record)};
@@ -87,10 +87,10 @@
     for (auto& [key, record] : executor_records_) {
         const auto job = key.substr(5);
         if (!record) {
-            spdlog::error("the record {} cannot be read: its part is left alone", key);
+            spdlog::error("delegation record {} cannot be read: its shard is left alone", key);
             continue;
         }
-        // Its turn may be over already: that is on record before this one is dropped.
+        // Its epoch may be over already: that is on record before this one is dropped.
         auto over = co_await host_.state.get(cells::closed_epoch_key(job));
         if (over.outcome != Outcome::ok && over.outcome != Outcome::absent) co_return false;
         if (over.outcome == Outcome::ok) {
@@ -112,7 +112,7 @@
     co_return true;
 }
 
-// ---- the owner's side ----
+// ---- the origin's side ----
 
 Task<> CellDelegations::run() {
     for (;;) {
@@ -172,16 +172,16 @@
         l.origin.delegate(tasks, deadline_for(job->spec.job_class));
         offload_planner_.on_offer_sent(s.to, job->spec.need, n);
         l.awaiting_first_reply = true;
-        spdlog::info("{} tasks of {} go to cell {}", n, s.job, s.to);
+        spdlog::info("job {}: {} tasks delegated to cell {}", s.job, n, s.to);
     }
 }
 
-// What a part waits for next, if nothing of it is under way.
+// What a shard waits for next, if nothing of it is in flight.
 void CellDelegations::advance(const std::string& id, TimePoint now) {
     auto& l = delegated_.at(id);
     auto* job = host_.cluster.find_job(id);
     if (!job && !l.origin.delegated()) {
-        // Its job is over: no further turn will come of it.
+        // Its job is over: no further epoch will come of it.
         host_.cluster.enqueue({cells::origin_key(id), std::nullopt, {}});
         delegated_.erase(id);
         host_.wake_writes();
@@ -190,12 +190,13 @@
     if (!job || l.writing || l.asking) return;
     if (l.origin.expire(day_now(), host_.max_clock_error))
         spdlog::warn(
-            "cell {} isn't heard: its part of {} comes back, {} of {} tasks done there as far as known", l.to,
-            id, l.origin.done().size(), l.origin.record().tasks.size());
+            "job {}: shard reclaimed at its deadline from cell {}, which does not reply; {} of {} tasks "
+            "known done",
+            id, l.to, l.origin.done().size(), l.origin.record().tasks.size());
     auto next = l.origin.next_action();
     if (auto* write = std::get_if<cells::DelegationOrigin::Write>(&next)) {
         if (!write->record.open) {
-            // What was done there is on record here before the part is closed.
+            // What was done there is on record here before the shard is closed.
             const auto tasks = l.origin.tasks();
             for (auto& [from, to] : write->done.ranges())
                 for (auto i = from; i < to; ++i) {
@@ -219,7 +220,7 @@
                                    if (auto* j = host_.cluster.find_job(id)) {
                                        host_.cluster.reclaim_delegated(*j, before, done);
                                        spdlog::info(
-                                           "the part of {} is back from cell {}: {} tasks done there", id,
+                                           "job {}: delegation to cell {} closed, {} tasks done there", id,
                                            it->second.to, done.size());
                                    }
                                    host_.wake_places();
@@ -272,12 +273,12 @@
         offload_planner_.on_offer_answered(cell, now);
         if (answer->status == DelegationReply::Status::closed) {
             offload_planner_.on_offer_refused(cell, now);
-            spdlog::info("cell {} does not take the part of {}", cell, id);
+            spdlog::info("job {}: delegation refused by cell {}", id, cell);
         }
     }
     it->second.origin.on_reply(*answer);
-    // It is heard: the end is put off, some time before it would make anything stop there. The job may have
-    // gone while the answer was waited for.
+    // It is heard: the deadline is extended, some time before it would make anything stop there. The job may
+    // have gone while the answer was waited for.
     job = host_.cluster.find_job(id);
     if (const auto deadline = it->second.origin.record().deadline;
         deadline && answer->status == DelegationReply::Status::executing && job) {
@@ -288,10 +289,10 @@
     advance(id, now);
 }
 
-// ---- the neighbour's side ----
+// ---- the executor's side ----
 
 Json CellDelegations::capacity_digest() {
-    // One look at the machines for all neighbours that ask at about the same time.
+    // One look at the machines for all cells that ask at about the same time.
     const auto now = Clock::now();
     if (!digest_.is_null() && now - digest_made_ < 300ms) return digest_;
     digest_made_ = now;
@@ -306,7 +307,7 @@
     const auto id = request.job;
     if (!peer_cell(request.from)) co_return error_response(400, "not a cell that is known here");
     if (!executing_.contains(id)) {
-        // Nothing is held: an earlier turn that is over must be met all the same.
+        // Nothing is held: an earlier epoch that is over must be met all the same.
         auto over = co_await host_.state.get(cells::closed_epoch_key(id));
         if (over.outcome != Outcome::ok && over.outcome != Outcome::absent)
             co_return error_response(503, "not now", 1);
@@ -369,7 +370,8 @@
     const auto now = day_now();
     for (auto& [id, h] : executing_)
         if (h.executor.stop_if_due(now + stop_ahead())) {
-            spdlog::warn("cell {} isn't heard: the part of {} stops here", h.owner, id);
+            spdlog::warn("job {}: shard of cell {}, which does not reply, stops before its deadline", id,
+                         h.owner);
             stop_executing(id);
         }
 }
@@ -397,7 +399,7 @@
         }
 }
 
-// Puts on record what the part wants on record.
+// Puts on record what the shard wants on record.
 void CellDelegations::write_executor_record(const std::string& id) {
     auto& h = executing_.at(id);
     if (h.writing) return;
@@ -410,7 +412,7 @@
                                cells::to_json(cells::StoredExecutor{h.owner, record, h.spec, h.accepted_ms}),
                                [this, id, record] { on_executor_recorded(id, record); }});
     } else {
-        // The turn first: a successor that finds both believes it.
+        // The epoch first: a successor that finds both believes it.
         host_.cluster.enqueue({cells::closed_epoch_key(id), cells::closed_epoch_json(record),
                                [this, id, record] { on_executor_recorded(id, record); }});
         if (h.executor.record().executing) host_.cluster.enqueue({cells::executor_key(id), std::nullopt, {}});
@@ -428,7 +430,7 @@
     auto& cluster = host_.cluster;
     auto* job = cluster.find_job(id);
     if (record.executing && !held_before) {
-        spdlog::info("{} tasks of {} come from cell {}", record.tasks.size(), id, h.owner);
+        spdlog::info("job {}: {} tasks accepted from cell {}", id, record.tasks.size(), h.owner);
         cluster.add_delegated_shard({h.spec, h.accepted_ms}, record.tasks, record.done, Clock::now(),
                                     wall_ms());
         h.executor.on_tasks_placed();
@@ -436,8 +438,7 @@
     } else if (record.executing && job) {
         cluster.delegated_results_recorded(*job, record.done);
     } else if (!record.executing && held_before && job && job->runs_for_origin_cell) {
-        spdlog::info("the part of {} goes back to cell {}: {} tasks done here", id, h.owner,
-                     record.done.size());
+        spdlog::info("job {}: shard of cell {} closed, {} tasks done here", id, h.owner, record.done.size());
         cluster.delegated_results_recorded(*job, record.done);
         cluster.drop_delegated_shard(*job);
     }
--- a/src/api/cell_delegations.hpp
+++ b/src/api/cell_delegations.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// A leader's part with other cells: what it lends them and holds for them, as the records and answers say.
+// A leader's part with other cells: what it delegates to them and executes for them, as the records and
+// answers say.
 #include <map>
 #include <memory>
 #include <utility>
@@ -30,17 +31,17 @@
         std::chrono::milliseconds gone_within, renewed_within;
     };
     CellDelegations(const cells::Settings& settings, Host host);
-    // Reads the records of parts. False: not now. Before any other.
+    // Reads the records of shards. False: not now. Before any other.
     net::Task<bool> read_records();
     // Takes them over. False: not now. Before anything is started.
     net::Task<bool> recover(TimePoint now, std::int64_t wall_ms);
-    // Whether a heartbeat may be answered, which renews the worker's lease: what a part with an end may have
-    // on the machine must be gone in time. `m`: absent while the records are being read.
+    // Whether a heartbeat may be answered, which renews the worker's lease: what a shard with a deadline may
+    // have on the machine must be gone in time. `m`: absent while the records are being read.
     bool may_renew(const wire::WorkerHeartbeat& heartbeat, const fleet::Machine* m) const;
     // Once a second or so: spills, sends again what has no answer, asks for what is done.
     net::Task<> run();
     // Stops what must be gone before long. Before every round, the first above all: leaders that follow each
-    // other faster than `loop` looks started tasks of a part whose end was over.
+    // other faster than `loop` looks started tasks of a shard whose end was over.
     void stop_before_deadlines();
     // Another cell's request: an offer or a recall.
     net::Task<net::Response> handle_request(cells::DelegationRequest request);
@@ -71,7 +72,7 @@
     const cells::PeerCell* peer_cell(const std::string& name) const;
     const std::string& node_of(const std::string& cell);
     std::optional<DayTime> deadline_for(const std::string& job_class) const;
-    // How long before its end a part must be told to stop here.
+    // How long before its end a shard must be told to stop here.
     std::chrono::milliseconds stop_ahead() const {
         return host_.gone_within + 2 * host_.max_clock_error + slack;
     }
--- a/src/cells/delegation.cpp
+++ b/src/cells/delegation.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 namespace barrowrun::cells {
-// ---- the owner ----
+// ---- the origin ----
 
 DelegationOrigin::Action DelegationOrigin::next_action() const {
     if (pending_) return *pending_;
@@ -29,8 +29,8 @@
 }
 
 bool DelegationOrigin::expire(DayTime now, std::chrono::milliseconds clock_error) {
-    // A later end whose record is under way counts: it may be on record, and be found there by a successor
-    // that sends it.
+    // A later deadline whose record is in flight counts: it may be on record, and be found there by a
+    // successor that sends it.
     if (pending_ || !record_.open || !record_.deadline || now <= *record_.deadline + clock_error)
         return false;
     close();
@@ -51,20 +51,20 @@
     if (!record_.open) recalling_ = accepted_ = false;
 }
 
-void DelegationOrigin::on_reply(const DelegationReply& answer) {
-    if (!record_.open || pending_ || answer.epoch != record_.epoch) return;
-    if (answer.status == DelegationReply::Status::undecided) return;
-    // Of a task that the part doesn't have it can't know.
-    answer.done.each([&](std::uint32_t i) {
+void DelegationOrigin::on_reply(const DelegationReply& reply) {
+    if (!record_.open || pending_ || reply.epoch != record_.epoch) return;
+    if (reply.status == DelegationReply::Status::undecided) return;
+    // Of a task that the shard doesn't have it can't know.
+    reply.done.each([&](std::uint32_t i) {
         if (record_.tasks.contains(i)) done_.insert(i);
     });
-    accepted_ = answer.status == DelegationReply::Status::executing;
-    if (answer.status == DelegationReply::Status::closed) close();
+    accepted_ = reply.status == DelegationReply::Status::executing;
+    if (reply.status == DelegationReply::Status::closed) close();
 }
 
-// ---- the neighbour ----
+// ---- the executor ----
 
-DelegationReply DelegationExecutor::answer() const {
+DelegationReply DelegationExecutor::reply() const {
     return {record_.executing ? DelegationReply::Status::executing : DelegationReply::Status::closed,
             record_.epoch, record_.done};
 }
@@ -74,9 +74,9 @@
     if (offer.epoch == record_.epoch) {
         if (record_.executing && !stopping_ && deadline_ && offer.deadline)
             deadline_ = std::max(*deadline_, *offer.deadline);
-        return answer();
+        return reply();
     }
-    // A new turn while the last is not over: its owner has forgotten what it knew. Nothing is decided.
+    // A new epoch while the last is not over: its origin has forgotten what it knew. Nothing is decided.
     if (record_.executing) return DelegationReply{DelegationReply::Status::undecided, offer.epoch, {}};
     if (!pending_ || pending_->epoch < offer.epoch)
         pending_ = ExecutorRecord{offer.epoch, may_accept, offer.tasks, {}, offer.deadline};
@@ -87,17 +87,17 @@
     if (recall.epoch < record_.epoch)
         return DelegationReply{DelegationReply::Status::closed, recall.epoch, {}};
     if (recall.epoch == record_.epoch) {
-        if (!record_.executing) return answer();
+        if (!record_.executing) return reply();
         stopping_ = true;
         return std::nullopt;
     }
     if (record_.executing) return DelegationReply{DelegationReply::Status::undecided, recall.epoch, {}};
-    // Of a turn that was never heard of, or whose acceptance is being written: the refusal that its copies
+    // Of a epoch that was never heard of, or whose acceptance is being written: the refusal that its copies
     // will meet.
     if (!pending_ || pending_->epoch < recall.epoch) {
         pending_ = ExecutorRecord{recall.epoch, false, {}, {}, {}};
     } else if (pending_->epoch == recall.epoch && pending_->executing) {
-        // Its record may be under way: it is refused once that is known.
+        // Its record may be in flight: it is refused once that is known.
         stopping_ = true;
     }
     return std::nullopt;
@@ -119,7 +119,7 @@
     auto done = record_.done;
     done.insert(done_);
     const bool over = stopping_ && machines_cleared_;
-    // A later end need not be on record before it counts: a successor that knows the earlier one stops
+    // A later deadline need not be on record before it counts: a successor that knows the earlier one stops
     // sooner.
     if (!over && done.size() == record_.done.size() && deadline_ == record_.deadline) return std::nullopt;
     return ExecutorRecord{record_.epoch, !over, record_.tasks, std::move(done), deadline_};
--- a/src/cells/delegation.hpp
+++ b/src/cells/delegation.hpp
@@ -1,25 +1,32 @@
 #pragma once
-// A part of a job that one cell, its owner, has run by a neighbour: hand to hand, so that it has one owner at
-// any moment. Decisions only: state + event -> actions, no I/O, no clock.
-//
-// Each part that an owner offers a neighbour of a job has a turn, a number that only grows. Both sides keep
-// one record for each job and each other cell:
-//   owner      turn; open or not. Written before the offer is sent; closed in the same transaction that
-//              takes over what the neighbour has done.
-//   neighbour  turn; holding, or over with what was done. Written before the answer.
-// While its record is open the owner runs none of the part. The neighbour runs it only while its record says
-// holding. What closes the owner's record is the neighbour's own word that this turn is over: refused, or
-// given back once nothing of it is on its machines any more. A refusal is on record too, since a copy of the
-// offer may still be under way; it is told by its turn and meets the record. No answer means unknown: the
-// offer, or the recall, is sent again.
-//
-// A part may have an end, a moment of the day until which the neighbour may have any of it on a machine. Then
-// a neighbour that isn't heard any more doesn't keep it: the owner takes it back after that moment by its own
-// clock, later by the error of clocks. The end is on record at the owner before it is sent, and is set anew
-// only while the neighbour is heard. The neighbour stops so long before it that nothing is left by then, even
-// where it can't reach its machines; an end that it has never heard of can't bind it, so a later one only
-// ever adds. A moment, not a length: a message that was held for minutes must not set a later end than its
-// owner counts on.
+/// Delegation of a shard of a job from one cell (the origin) to another (the executor).
+///
+/// Decisions only: state + event -> actions; no I/O and no clock. Both state machines are deterministic, so
+/// that tests/delegation_test.cpp can visit every reachable state.
+///
+/// Invariant: at any moment at most one of the two cells may run a task of the shard.
+///
+/// Each delegation of a job to a cell has an epoch, a number that only grows. Each side keeps one record per
+/// job and other cell:
+///   origin    epoch, and whether it is open. Written before the offer is sent; closed in the same
+///   transaction
+///             that takes over the results of the executor.
+///   executor  epoch, and whether it executes the shard or has closed the epoch with its results. Written
+///   before
+///             the reply is sent.
+/// While its record is open, the origin runs none of the shard. The executor runs it only while its record
+/// says that it executes. Only the executor's own reply closes the origin's record: the epoch was refused, or
+/// nothing of the shard is on its machines any more. A refusal is recorded, too, because a copy of the offer
+/// may still be in flight. A missing reply means that the outcome is unknown: the offer or the recall is sent
+/// again.
+///
+/// A delegation may have a deadline: a time of day until which the executor may have any of the shard on a
+/// machine. An executor that can't be reached does not keep such a shard: the origin reclaims it once the
+/// deadline has passed by its own clock, plus the clock error. The deadline is recorded at the origin before
+/// it is sent and extended only while the executor replies. The executor stops early enough that nothing is
+/// left by then, even on machines that it can't reach. A deadline that the executor hasn't heard of doesn't
+/// bind it, so an extension only ever adds time. It is a time of day, not a duration: a message that was
+/// delayed for minutes must not set a later deadline than the origin counts on.
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -32,132 +39,138 @@
 namespace barrowrun::cells {
 
 using state::IndexSet;
-using DelegationEpoch = std::uint64_t;
 
-// ---- what is sent, in the users' protocol ----
+/// Orders the delegations of one job to one cell; 0: none yet.
+using DelegationEpoch = std::uint64_t;
 
-// POST /submissions with the job, and with it: whose, which turn, and which tasks.
+/// Origin to executor: run these tasks. Sent as POST /peer/submit together with the job.
 struct DelegationOffer {
     DelegationEpoch epoch = 0;
     IndexSet tasks;
     std::optional<DayTime> deadline;
 };
-// POST /submissions/{id}/cancel, of one turn.
+
+/// Origin to executor: close this epoch. Sent as POST /peer/cancel.
 struct DelegationRecall {
     DelegationEpoch epoch = 0;
 };
-// What the neighbour answers to either.
+
+/// Executor to origin, in reply to an offer or a recall.
 struct DelegationReply {
     enum class Status {
-        undecided,  // nothing was decided: to be asked again
-        executing,  // it is on record there; `done` of it so far
-        closed,     // it will never run there (again); `done` is final
+        undecided,  ///< nothing was decided; the request has to be repeated
+        executing,  ///< recorded at the executor; `done` holds its results so far
+        closed,     ///< the epoch will never run there (again); `done` is final
     };
     Status status = Status::undecided;
     DelegationEpoch epoch = 0;
     IndexSet done;
 };
 
-// ---- the owner ----
-
+/// What the origin has on record of a job's delegation.
 struct OriginRecord {
-    DelegationEpoch epoch = 0;  // the last that was used
+    DelegationEpoch epoch = 0;  ///< the last one used
     bool open = false;
-    IndexSet tasks;  // of an open part
+    IndexSet tasks;  ///< empty unless open
     std::optional<DayTime> deadline;
 };
 
+/// The origin's side of one job's delegation to one cell.
 class DelegationOrigin {
   public:
     explicit DelegationOrigin(OriginRecord record = {}) : record_(std::move(record)) {}
 
-    // What is to be done next; the same again until an event changes it.
+    /// A record to be written, and the executor's results that go into the same transaction.
     struct Write {
         OriginRecord record;
-        IndexSet done;  // that the neighbour has done, to be recorded with it
+        IndexSet done;
     };
     using Action = std::variant<std::monostate, Write, DelegationOffer, DelegationRecall>;
+    /// What has to be done next; the same action until an event changes it.
     Action next_action() const;
 
-    // Tasks that aren't running here and shall run there. Only while nothing is lent.
+    /// Opens an epoch for tasks that don't run here. False if one is open or the set is empty.
     bool delegate(IndexSet tasks, std::optional<DayTime> deadline = {});
-    // A later end, for a part that has one; only after the neighbour was heard to hold it.
+    /// Extends the deadline of an open epoch that has one. Only after a reply that the shard is executing.
     void extend_deadline(DayTime deadline);
-    // The time of day is `now`, and clocks may be apart by `apart`. True: the end is over, and the part
-    // becomes ours again with what was last heard to be done. What the neighbour did without its being heard
-    // is done again.
+    /// Reclaims the shard if its deadline has passed at `now`, clocks differing by up to `clock_error`, with
+    /// the results last heard of; anything else the executor did is repeated. True if it was reclaimed.
     bool expire(DayTime now, std::chrono::milliseconds clock_error);
-    // The part is wanted back, or is to be acknowledged as done.
+    /// Asks for the shard back, or acknowledges that all of it is done.
     void recall() { recalling_ = true; }
-    // The write that `next` asked for is on record.
+    /// The write that `next_action` asked for is durable.
     void on_recorded();
-    // An answer; one to an earlier turn says nothing.
-    void on_reply(const DelegationReply& answer);
+    /// A reply has arrived. One to an earlier epoch is ignored, as are results of tasks that weren't
+    /// delegated.
+    void on_reply(const DelegationReply& reply);
 
-    // Whether the tasks may not be run here.
+    /// Whether the tasks must not run here.
     bool delegated() const { return record_.open || (pending_ && pending_->record.open); }
     const IndexSet& tasks() const {
         return pending_ && pending_->record.open ? pending_->record.tasks : record_.tasks;
     }
-    // Done there so far, as last heard.
+    /// Results of the executor, as last heard.
     const IndexSet& done() const { return done_; }
     const OriginRecord& record() const { return record_; }
+    /// Whether the executor's last reply said that it executes the shard.
     bool accepted() const { return accepted_; }
 
   private:
     void close();
     OriginRecord record_;
-    std::optional<Write> pending_;
+    std::optional<Write> pending_;  // not durable yet
     IndexSet done_;
     bool recalling_ = false, accepted_ = false;
-    friend struct DelegationPeek;  // the search over all states
+    friend struct DelegationPeek;  // the test's search over all states
 };
 
-// ---- the neighbour ----
-
+/// What the executor has on record of a delegation.
 struct ExecutorRecord {
     DelegationEpoch epoch = 0;
-    bool executing = false;
+    bool executing = false;  ///< false: the epoch is closed, and `done` is final
     IndexSet tasks, done;
     std::optional<DayTime> deadline;
 };
 
+/// The executor's side of one job's delegation from one cell.
 class DelegationExecutor {
   public:
     explicit DelegationExecutor(ExecutorRecord record = {})
         : record_(std::move(record)), deadline_(record_.deadline) {}
 
-    // An offer has come. `room`: whether it may be taken. The answer, or nothing: it waits for `next_write`.
-    // One that has an end must not be taken (`room`) when the moment to stop is past already.
+    /// Handles an offer; `may_accept` must be false for one whose deadline leaves no time to stop. Returns
+    /// the reply, or nothing while it waits for `next_write` to be recorded.
     std::optional<DelegationReply> on_offer(const DelegationOffer& offer, bool may_accept);
-    // `stop_by`: what has an end before it must stop now. From then on no later end is heard of. True: it has
-    // to stop, and hadn't.
+    /// Begins to stop a shard whose deadline is not after `stop_by`; extensions are ignored from then on.
+    /// True if it has to stop and wasn't stopping before.
     bool stop_if_due(DayTime stop_by);
-    // Until when something of the part may be on a machine here, as far as is known.
+    /// Until when tasks of the shard may be on a machine here, as far as is known.
     std::optional<DayTime> deadline() const { return deadline_; }
-    // A recall has come. Nothing: it waits for a write, or for what runs to be gone.
+    /// Handles a recall. Returns the reply, or nothing while it waits for a write or for tasks to be gone.
     std::optional<DelegationReply> on_recall(const DelegationRecall& recall);
-    // Tasks have ended well; on record with the next write, and told only then.
+    /// Tasks have completed. Reported to the origin only once they are recorded.
     void on_tasks_done(const IndexSet& tasks);
-    // Nothing of the part is on a machine, or may still start there.
+    /// Nothing of the shard is on a machine, nor may still start on one.
     void on_machines_cleared() { machines_cleared_ = true; }
+    /// Tasks of the shard may be on machines.
     void on_tasks_placed() { machines_cleared_ = false; }
 
-    // What is to be put on record.
+    /// The record to be written, if any.
     std::optional<ExecutorRecord> next_write() const;
+    /// The record is durable.
     void on_recorded(const ExecutorRecord& record);
 
-    // Whether its tasks may be started here.
+    /// Whether tasks of the shard may be started here.
     bool may_start_tasks() const { return record_.executing && !stopping_; }
     bool stopping() const { return record_.executing && stopping_; }
     const ExecutorRecord& record() const { return record_; }
 
   private:
-    DelegationReply answer() const;
+    DelegationReply reply() const;
     ExecutorRecord record_;
-    std::optional<ExecutorRecord> pending_;  // another turn, or the end of this one
-    IndexSet done_;                          // not on record yet
-    std::optional<DayTime> deadline_;        // as last heard, of the part that is held; on record later
+    std::optional<ExecutorRecord> pending_;  // another epoch, or the end of this one
+    IndexSet done_;                          // not recorded yet
+    std::optional<DayTime> deadline_;        // as last heard; recorded later
     bool stopping_ = false, machines_cleared_ = true;
     friend struct DelegationPeek;
 };
--- a/src/cells/offload.hpp
+++ b/src/cells/offload.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// When work spills over, and how much of it. Decisions only: no I/O, no clock.
+/// Offloading: which waiting tasks are offered to which other cell. Decisions only: no I/O and no clock.
 #include <map>
 #include <string>
 #include <vector>
@@ -10,55 +10,59 @@
 
 namespace barrowrun::cells {
 
-// What a cell tells its neighbours of itself: free room, by what is free on one machine.
+/// A cell's free capacity, as it tells other cells: a bounded summary of what is free on each machine.
 struct CapacityDigest {
+    /// Machines with the same free resources.
     struct FreeCapacity {
         wire::Resources free;
         std::uint32_t machines = 0;
     };
-    std::vector<FreeCapacity> free_capacities;  // at most `max_entries`
-    std::uint64_t waiting = 0;                  // tasks: a cell in which work waits takes none of others
+    std::vector<FreeCapacity> free_capacities;  ///< at most `max_entries`
+    std::uint64_t waiting = 0;                  ///< waiting tasks; a cell that has any accepts no offers
 
     static constexpr std::size_t max_entries = 16;
-    // Gathers holes of like size; when there are too many sorts, the smaller of two that are nearest stands
-    // for both.
+    /// Adds a machine's free resources. Beyond `max_entries` the two entries that lose least are merged into
+    /// their component-wise minimum, so that a digest never promises more than there is.
     void add(const wire::Resources& free);
+    /// How many tasks of this size fit.
     std::uint32_t fits(const wire::Resources& need) const;
-    // As if so many tasks had been placed.
+    /// Removes the capacity that so many tasks take.
     void take(const wire::Resources& need, std::uint32_t tasks);
 };
-wire::Json to_json(const CapacityDigest& d);
+wire::Json to_json(const CapacityDigest& digest);
+/// Nothing if the value is malformed.
 std::optional<CapacityDigest> parse_capacity_digest(const wire::Json& value);
 
-// A job of which tasks wait here, in the queues' order.
+/// A job with waiting tasks, in the order of the queues.
 struct OffloadCandidate {
     std::string id, team;
     wire::JobKind kind = wire::JobKind::array;
-    wire::Resources need;
+    wire::Resources need;  ///< of each task
     std::uint32_t waiting = 0;
     Clock::duration waited{};
 };
 
+/// So many tasks of the job are to be offered to the cell `to`.
 struct OffloadDecision {
     std::string job, to;
     std::uint32_t tasks = 0;
 };
 
-// What was sent counts against a digest until one comes that is younger than the answer: the view is old by
-// seconds.
+/// Plans offers from the digests of other cells. A digest is seconds old, so offers that were sent count
+/// against it until a digest arrives that was requested after the offer was answered.
 class OffloadPlanner {
   public:
-    // `asked`: when the question was sent that it answers.
+    /// A digest has arrived; `requested`: when its request was sent.
     void on_digest(const std::string& cell, CapacityDigest digest, TimePoint requested, TimePoint now);
-    // A part was offered; its room is used from here on, whatever a digest from before says.
+    /// An offer was sent: its capacity counts as used, whatever an earlier digest says.
     void on_offer_sent(const std::string& cell, const wire::Resources& need, std::uint32_t tasks);
-    // The part was taken, or refused: digests asked for from here on know of it.
+    /// An offer was accepted or refused: digests requested from now on take it into account.
     void on_offer_answered(const std::string& cell, TimePoint now);
-    // A cell that refused is left alone for a while.
+    /// A cell that refused gets no offers for a while.
     void on_offer_refused(const std::string& cell, TimePoint now);
 
-    // Arrays by ranges, oldest of the highest level first; those that have waited long enough; to the
-    // neighbour with most room for them. At most so many parts at once.
+    /// At most `most` offers: job arrays that waited for `Settings::offload_after`, in the given order, each
+    /// to the permitted cell with the most capacity for it.
     std::vector<OffloadDecision> choose(const Settings& settings,
                                         const std::vector<OffloadCandidate>& waiting, TimePoint now,
                                         std::size_t most) const;
--- a/tests/offload_test.cpp
+++ b/tests/offload_test.cpp
@@ -167,7 +167,7 @@
     EXPECT_EQ(given.return_after.at("batch"), 90'500ms);
 }
 
-// The end of a part outlives processes and ways between cells, and one that is no moment is no part.
+// The end of a shard outlives processes and ways between cells, and one that is no moment is no part.
 TEST(Parts, TheirEndsAreOnRecordAndSent) {
     const auto job_of_two = Fleet().spec("wk-1", 2);
     const DayTime end{1'790'000'000'123ms};
@@ -193,7 +193,7 @@
     EXPECT_FALSE(parse_delegation_request(to_json(without))->deadline);
 }
 
-// A part at the neighbour: only its tasks are started, what is done stays with the worker until it is on
+// A part at the executor: only its tasks are started, what is done stays with the worker until it is on
 // record, and nothing of the job's records is written there.
 TEST(Borrowed, OnlyThePartRunsAndItsRecordsAreNotThisCellsOwn) {
     Fleet f;
@@ -241,7 +241,7 @@
     f.cluster->on_heartbeat(f.heartbeat("n-1", ended), true, f.now);
     f.write();
     EXPECT_EQ(job.job_state(), wire::JobState::running);
-    // All of it is done, and not over before the part is closed.
+    // All of it is done, and not over before the shard is closed.
     for (std::uint32_t i = 3; i < 10; ++i) f.cluster->finish_delegated(job, i);
     f.write();
     ASSERT_NE(f.cluster->find_job("wk-1"), nullptr);
--- a/tests/site/cells_common.sh
+++ b/tests/site/cells_common.sh
@@ -24,7 +24,7 @@
     echo "w=$work/$name.log; line() { echo \$(date +%s.%N) \$BARROW_TASK \$\$ \$1 >> \$w; }; line begin; for i in \$(seq $(($1 * 5))); do sleep 0.2; line beat; done; line end"
 }
 fault() { BARROWRUN_LAB= "$lab" fault "$@" > /dev/null || say "the fault $* was not brought about"; }
-spilled() { grep -hs "tasks of $1 come from cell cell-1" "$root"/cell-2/logs/barrow-* | grep -q . || say "nothing of $1 was run by the other cell"; }
+spilled() { grep -hs "job $1: [0-9]* tasks accepted from cell cell-1" "$root"/cell-2/logs/barrow-* | grep -q . || say "nothing of $1 was run by the other cell"; }
 run_cases() { # names
     for name in "$@"; do
         bad=0
--- a/tests/site/cells_return.sh
+++ b/tests/site/cells_return.sh
@@ -7,7 +7,7 @@
 # usage: cells_return.sh BARROWCTL BARROWRUN-LAB
 #        (inside `barrowrun-lab run --cells 2 --machines 4 --machines-elsewhere 6 --cpus 1 --lease-s 3 --return-after-s 14 -- ...`)
 . "$(dirname "$0")/cells_common.sh"
-back() { grep -hs "its part of $1 comes back" "$root"/cell-1/logs/barrow-* | grep -q . || say "no part of $1 came back"; }
+back() { grep -hs "job $1: shard reclaimed at its deadline" "$root"/cell-1/logs/barrow-* | grep -q . || say "no part of $1 came back"; }
 all_ended() { [ "$(grep end "$name.log" | awk '{print $2}' | sort -u | wc -l)" -eq "$1" ] || say "not all tasks have ended"; }
 
 case_cut() {
@@ -17,7 +17,7 @@
     fault cut cell:cell-2 --for 40 --dir "$root/cell-1"
     local open=$((SECONDS + 41))
     until_state "$id" done 90 && { back "$id"; all_ended 10; never_together; }
-    grep -hs "the part of $id stops here" "$root"/cell-2/logs/barrow-* | grep -q . || say "the other cell did not stop its part"
+    grep -hs "job $id: shard of cell .*, which does not reply, stops before its deadline" "$root"/cell-2/logs/barrow-* | grep -q . || say "the other cell did not stop its part"
     # The way is open again: what comes late of it starts nothing.
     while [ $SECONDS -lt $open ]; do sleep 0.5; done
     sleep 8
