--- a/bench/wide.sh
+++ b/bench/wide.sh
@@ -7,6 +7,7 @@
 dir=$(mktemp -d); trap 'rm -rf "$dir"' EXIT
 make_rules() {
     mkdir -p "$1"
+    # shellcheck disable=SC2016  # make's dollars, not the shell's
     { printf 'all: $(patsubst %%,t%%,$(shell seq %s))\n' "$rules"; printf 't%%:\n\t@sleep %s; echo $* > $@\n' "$seconds"; } > "$1/Makefile"
 }
 now() { date +%s.%N; }
--- a/tests/rules/faults.sh
+++ b/tests/rules/faults.sh
@@ -22,7 +22,7 @@
 }
 start() { timeout 100 "$ctl" --json make -C "$work/site" "$@" > "$work/out" 2> "$work/err" & driver=$!; }
 finish() { # expected status
-    wait $driver; local status=$?
+    wait "$driver"; local status=$?
     [ $status -eq "$1" ] || { say "status $status, not $1"; tail -n 5 "$work/out" "$work/err"; }
     local twice; twice=$(grep -o '"state":"done","target":"[^"]*"' "$work/out" | sort | uniq -d)
     [ -z "$twice" ] || say "made twice: $twice"
@@ -56,6 +56,7 @@
 
 case_failing_rule() {
     mkdir "$work/site"
+    # shellcheck disable=SC2016  # make's dollars, not the shell's
     printf 'all: good after\ngood:\n\t@sleep 0.3; echo good > $@\nbad:\n\t@echo half > $@; for i in 1 2 3; do echo line $$i; done; exit 7\nafter: bad\n\techo never > $@\n' > "$work/site/Makefile"
     start -k; finish 1
     [ -f "$work/site/good" ] || say "what doesn't need it was not made"
@@ -67,6 +68,7 @@
 }
 case_retries() {
     mkdir "$work/site"
+    # shellcheck disable=SC2016  # make's dollars, not the shell's
     printf 'x: BARROW_RETRIES = 2\nx:\n\t@n=$$(cat $$BARROW_SAVE_DIR/n 2>/dev/null || echo 0); echo $$((n+1)) > $$BARROW_SAVE_DIR/n; test $$n -eq 2 && echo $$n > $@\n' > "$work/site/Makefile"
     start; finish 0; [ "$(cat "$work/site/x")" = 2 ] || say "not made at the third try"
     rm -rf "$work/site/x" "$work/site/.barrowrun"; sed -i 's/eq 2/eq 9/' "$work/site/Makefile"
@@ -83,7 +85,7 @@
     slow_rules "$work/site"; start; sleep 0.7
     "$ctl" flow -C "$work/site" cancel "$("$ctl" flow -C "$work/site" list | cut -d' ' -f1)" > "$work/cancel" 2>&1 || say "$(cat "$work/cancel")"
     finish 1; sleep 1.5
-    ls "$work/site" | grep -q chapter && say "a chapter was published after the cancellation"
+    compgen -G "$work/site/*chapter*" > /dev/null && say "a chapter was published after the cancellation"
     left=$(find "$work/site/.barrowrun/stage" -mindepth 1 -maxdepth 1 2> /dev/null | wc -l); [ "$left" -eq 0 ] || say "$left private directories are left"
 }
 case_much_output() {
@@ -96,6 +98,7 @@
 case_memory_bound() {
     # `tail` keeps a line of 300 MB in memory: more than the rule says it takes, and less than another says.
     mkdir "$work/site"
+    # shellcheck disable=SC2016  # make's dollars, not the shell's
     printf 'all: small large\nsmall: BARROW_MEM_GB = 0.1\nlarge: BARROW_MEM_GB = 1\nsmall large:\n\t@head -c 300000000 /dev/zero | tail -n 1 | wc -c > $@; test $$(cat $@) -eq 300000000\n' > "$work/site/Makefile"
     start -k; finish 1
     [ -e "$work/site/small" ] && say "the bound does not hold"
@@ -130,6 +133,7 @@
     timeout 60 "$ctl" submit --wait "$work/gang.json" > "$work/out" 2>&1 || { say "the gang failed"; cat "$work/out"; }
 }
 case_array_and_cancel() {
+    # shellcheck disable=SC2016  # the task's shell expands it
     echo '{"command": "echo task $BARROW_TASK", "tasks": 20, "retries": 1}' > "$work/a.json"
     timeout 60 "$ctl" submit --wait "$work/a.json" > "$work/out" 2>&1 || { say "the array failed"; cat "$work/out"; }
     grep -q '20 tasks done' "$work/out" || say "$(cat "$work/out")"
--- a/tests/site/cells.sh
+++ b/tests/site/cells.sh
@@ -9,7 +9,7 @@
 
 case_overflow() {
     local id; id=$(tasks 12 "$(task 2)")
-    until_state "$id" done 60 && { spilled "$id"; once 12; never_together; }
+    until_state "$id" "done" 60 && { spilled "$id"; once 12; never_together; }
 }
 case_cut_and_killed() {
     local id; id=$(tasks 16 "$(task 3)")
@@ -20,7 +20,7 @@
     fault kill leader --dir "$root/cell-1"
     sleep 3
     fault cut state --for 3 --dir "$root/cell-2"
-    until_state "$id" done 120 && never_together
+    until_state "$id" "done" 120 && never_together
     [ "$(grep end "$name.log" | awk '{print $2}' | sort -u | wc -l)" -eq 16 ] || say "not all tasks have ended"
     spilled "$id"
 }
--- a/tests/site/cells_common.sh
+++ b/tests/site/cells_common.sh
@@ -1,3 +1,4 @@
+# shellcheck shell=bash
 # What the tests of several cells share: sourced with BARROWCTL BARROWRUN-LAB as arguments.
 . "$(dirname "$0")/common.sh"
 root=$(dirname "$BARROWRUN_DEPOT")
@@ -23,12 +24,12 @@
 task() { # seconds of work; writes a line at the beginning, every 0.2 s and at the end
     echo "w=$work/$name.log; line() { echo \$(date +%s.%N) \$BARROW_TASK \$\$ \$1 >> \$w; }; line begin; for i in \$(seq $(($1 * 5))); do sleep 0.2; line beat; done; line end"
 }
-fault() { BARROWRUN_LAB= "$lab" fault "$@" > /dev/null || say "the fault $* was not brought about"; }
+fault() { BARROWRUN_LAB="" "$lab" fault "$@" > /dev/null || say "the fault $* was not brought about"; }
 spilled() { grep -hs "job $1: [0-9]* tasks accepted from cell cell-1" "$root"/cell-2/logs/barrow-* | grep -q . || say "nothing of $1 was run by the other cell"; }
 run_cases() { # names
     for name in "$@"; do
         bad=0
-        case_$name
+        "case_$name"
         [ $bad -eq 0 ] && passed=$((passed + 1)) || failed=$((failed + 1))
     done
     echo "$passed passed, $failed failed"
--- a/tests/site/cells_return.sh
+++ b/tests/site/cells_return.sh
@@ -16,7 +16,7 @@
     spilled "$id"
     fault cut cell:cell-2 --for 40 --dir "$root/cell-1"
     local open=$((SECONDS + 41))
-    until_state "$id" done 90 && { back "$id"; all_ended 10; never_together; }
+    until_state "$id" "done" 90 && { back "$id"; all_ended 10; never_together; }
     grep -hs "job $id: shard of cell .*, which does not reply, stops before its deadline" "$root"/cell-2/logs/barrow-* | grep -q . || say "the other cell did not stop its part"
     # The way is open again: what comes late of it starts nothing.
     while [ $SECONDS -lt $open ]; do sleep 0.5; done
@@ -29,9 +29,9 @@
     spilled "$id"
     local end=$((SECONDS + 30))
     while [ $SECONDS -lt $end ]; do
-        for n in 0 1 2; do BARROWRUN_LAB= "$lab" fault kill barrow-$n --dir "$root/cell-2" > /dev/null 2>&1; done
+        for n in 0 1 2; do BARROWRUN_LAB="" "$lab" fault kill barrow-$n --dir "$root/cell-2" > /dev/null 2>&1; done
         sleep 0.5
     done
-    until_state "$id" done 90 && { back "$id"; all_ended 10; never_together; }
+    until_state "$id" "done" 90 && { back "$id"; all_ended 10; never_together; }
 }
 run_cases cut nobody_there
--- a/tests/site/common.sh
+++ b/tests/site/common.sh
@@ -1,11 +1,14 @@
+# shellcheck shell=bash
 # What the tests of a loopback site share: sourced with BARROWCTL BARROWRUN-LAB as arguments. Leaves the shell in a directory of
 # its own, $work, that is removed at the end.
 set -u
+# shellcheck disable=SC2034  # what sources this uses it
 ctl=$(realpath "$1") lab=$(realpath "$2")
 export USER=tester
 work=$(mktemp -d)
 cd "$work" || exit 1
 trap 'rm -rf "$work"' EXIT
+# shellcheck disable=SC2034  # `bad` is what the sourcing test looks at
 say() { echo "FAILED ${name:+$name: }$*"; bad=1; }
 submit() { # the job without its command, as JSON fields; the command. Prints the id.
     printf '{"command":"%s","team":"lab",%s}' "$(printf '%s' "$2" | sed 's/\\/\\\\/g; s/"/\\"/g')" "$1" > job.json
--- a/tests/site/quotas.sh
+++ b/tests/site/quotas.sh
@@ -35,8 +35,8 @@
     "$ctl" --json submit job.json 2> submit.err | grep -o 'wk-[0-9]*' | head -1
 }
 tree() { printf '{"nodes":[%s]}' "$1" > tree.json; }
-base='{"name":"bureau","guarantee":{"cpus":2}%s},{"name":"lab","in":"bureau","team":"lab","guarantee":{"cpus":2}},{"name":"slips","in":"bureau/lab","guarantee":{"cpus":2}}'
-with_limit() { tree "$(printf "$base" ",\"limit\":{\"cpus\":$1}")"; }
+projects='{"name":"lab","in":"bureau","team":"lab","guarantee":{"cpus":2}},{"name":"slips","in":"bureau/lab","guarantee":{"cpus":2}}'
+with_limit() { tree "{\"name\":\"bureau\",\"guarantee\":{\"cpus\":2},\"limit\":{\"cpus\":$1}},$projects"; }
 fault() { "$lab" fault "$@" > /dev/null || say "the fault $* was not brought about"; }
 
 case_shown_checked_refused() {
@@ -60,8 +60,8 @@
     "$ctl" quota set tree.json --why "three at once" > out || say "set: status $?"
     local id; id=$(job lab 40 1.5 normal) # more than end while this looks, however slow the machine
     local most=0 n
-    for _ in $(seq 25); do n=$(of bureau used); n=${n%.*}; [ "${n:-0}" -gt $most ] && most=$n; sleep 0.05; done
-    [ $most -eq 3 ] || say "$most in use, not 3"
+    for _ in $(seq 25); do n=$(of bureau used); n=${n%.*}; [ "${n:-0}" -gt "$most" ] && most=$n; sleep 0.05; done
+    [ "$most" -eq 3 ] || say "$most in use, not 3"
     local said tries=20 # not in the moment between an end and the next start
     until said=$("$ctl" explain "$id"); grep -q 'the limit of bureau: cpus in use 3, limit 3, wanted 1' <<< "$said" || [ $((tries--)) -le 0 ]; do :; done
     [ $tries -gt 0 ] || say "$said"
@@ -71,11 +71,11 @@
 case_a_change_is_kept_whoever_dies() {
     for fallen in leader all; do
         local n=$((RANDOM % 3 + 4)) v
-        with_limit $n
+        with_limit "$n"
         "$ctl" quota set tree.json > out || say "set: status $?"
         v=$(version)
         if [ $fallen = leader ]; then fault kill leader; else for i in 0 1 2; do fault kill barrow-$i; done; fi
-        until_is 15 bureau limit $n
+        until_is 15 bureau limit "$n"
         [ "$(version)" = "$v" ] || say "version $(version) after $fallen died, $v before"
     done
 }
--- a/tests/site/zone.sh
+++ b/tests/site/zone.sh
@@ -10,6 +10,7 @@
 site=$(dirname "$BARROWRUN_DEPOT")
 bad=0
 # A task tells five times a second that it runs: moment, task, process.
+# shellcheck disable=SC2016  # the task's shell expands it
 beat='while :; do printf "%s %s %s\n" "$(date +%s.%N)" "$BARROW_JOB/$BARROW_TASK" $$ >> '"$work"'/beats; sleep 0.2; done'
 alive() { # tasks of a job that told so within the last second
     awk -v now="$(date +%s.%N)" -v job="$1/" '$1 > now - 1 && index($2, job) == 1 {t[$2]=1} END {n=0; for (x in t) n++; print n}' beats 2> /dev/null || echo 0
