--- a/src/state/state_client.cpp
+++ b/src/state/state_client.cpp
@@ -5,7 +5,8 @@
 using net::http::verb;
 
 namespace {
-// Shares of the service's rates. Some of the requests is left for the lead and its hold, which ask no budget.
+// Shares of the service's rates. Some of the requests is left for the leader key and its lease, which ask no
+// budget.
 constexpr double leader_requests = 0.6, leader_request_burst = 0.3;
 // The other nodes only write what they accept.
 constexpr double leader_writes = 0.85, leader_write_burst = 0.5;
@@ -15,12 +16,79 @@
 constexpr double requests_of_a_lookup = 2;
 // Longer than this no user's question waits for its turn: the user gives up after 2 s.
 constexpr std::chrono::milliseconds longest_lookup_wait{500};
+constexpr std::chrono::milliseconds page_deadline{2500};
+// Leases last for seconds: a later answer is of no use.
+constexpr std::chrono::milliseconds lease_deadline{1000};
+// How much later than asked for the answer to a watch may come.
+constexpr std::chrono::milliseconds watch_delay{1500};
+// Watches stay open beside the other requests.
+constexpr std::size_t connections = 16;
+// In bytes. A page of a listing has up to 1000 values.
+constexpr std::size_t largest_answer = 8 << 20;
+
+Outcome outcome_of(const Reply& reply) {
+    switch (reply.status) {
+        case 0:
+            return reply.may_execute ? Outcome::unknown : Outcome::refused;
+        case 200:
+            return reply.garbage ? Outcome::unknown : Outcome::ok;
+        case 404:
+            return Outcome::absent;
+        case 409:
+            return Outcome::conflict;
+        case 400:
+        case 429:
+        case 503:
+            return Outcome::refused;
+        default:
+            return Outcome::unknown;
+    }
+}
+
+Json swap_request(const std::vector<Precondition>& preconditions, std::vector<Operation> operations) {
+    Json conditions = Json::array(), changes = Json::array();
+    for (auto& precondition : preconditions)
+        conditions.push_back({{"key", precondition.key}, {"mark", precondition.version}});
+    for (auto& operation : operations) {
+        if (!operation.value) {
+            changes.push_back({{"drop", operation.key}});
+            continue;
+        }
+        Json set{{"set", operation.key}, {"value", std::move(*operation.value)}};
+        if (operation.lease_id) set["permit"] = operation.lease_id;
+        changes.push_back(std::move(set));
+    }
+    return Json{{"if", std::move(conditions)}, {"then", std::move(changes)}};
+}
+
+Json value_or_null(const Json& entry) {
+    const Json* value = wire::find(entry, "value");
+    return value ? *value : Json();
+}
+
+std::optional<KeyValue> parse_key_value(const Json& entry) {
+    auto key = wire::text(entry, "key");
+    if (!key) return std::nullopt;
+    return KeyValue{*key, value_or_null(entry), wire::count(entry, "mark").value_or(0)};
+}
+
+Event parse_event(const Json& entry) {
+    Event event;
+    event.version = wire::count(entry, "mark").value_or(0);
+    if (auto key = wire::text(entry, "set")) {
+        event.key = *key;
+        event.value = value_or_null(entry);
+    } else if (auto deleted = wire::text(entry, "drop")) {
+        event.key = *deleted;
+    }
+    return event;
+}
 }  // namespace
 
 StateClient::StateClient(net::asio::io_context& io, std::string address, double rps, double write_rps,
                          std::size_t nodes)
     : address_(std::move(address)),
-      client_(io, 16),
+      client_(io, connections),
       requests_(rps * leader_requests, rps * leader_request_burst),
       writes_(write_rps * leader_writes, write_rps * leader_write_burst),
       lookups_(rps * lookup_requests / static_cast<double>(std::max<std::size_t>(1, nodes)),
@@ -34,30 +102,21 @@
     if (auto line = reach_.note(answered, Clock::now())) spdlog::warn("{}", *line);
 }
 
+Task<> StateClient::wait_for_request_budget() {
+    auto wait = requests_.reserve(Clock::now(), 1);
+    if (wait > Clock::duration::zero()) co_await net::sleep_for(wait);
+}
+
 Task<Reply> StateClient::call(verb method, std::string target, std::optional<Json> body,
                               Clock::duration deadline, Throttle throttle) {
-    if (throttle == Throttle::wait) {
-        auto wait = requests_.reserve(Clock::now(), 1);
-        if (wait > Clock::duration::zero()) co_await net::sleep_for(wait);
-    }
+    if (throttle == Throttle::wait) co_await wait_for_request_budget();
     if (throttle == Throttle::charge_only) requests_.reserve(Clock::now(), 1);
     auto reply =
-        co_await client_.call(address_, method, std::move(target), std::move(body), deadline, 8 << 20);
+        co_await client_.call(address_, method, std::move(target), std::move(body), deadline, largest_answer);
     note(reply);
     co_return reply;
 }
 
-namespace {
-Outcome outcome_of(const Reply& r) {
-    if (r.status == 200) return r.garbage ? Outcome::unknown : Outcome::ok;
-    if (r.status == 0) return r.may_execute ? Outcome::unknown : Outcome::refused;
-    if (r.status == 404) return Outcome::absent;
-    if (r.status == 409) return Outcome::conflict;
-    if (r.status == 400 || r.status == 429 || r.status == 503) return Outcome::refused;
-    return Outcome::unknown;
-}
-}  // namespace
-
 Task<bool> StateClient::admit_lookup() {
     auto wait = lookups_.reserve_within(Clock::now(), requests_of_a_lookup, longest_lookup_wait);
     if (!wait) co_return false;
@@ -93,16 +152,14 @@
     for (;;) {
         std::string target = "/kv?under=" + prefix + "&page=1000";
         if (!after.empty()) target += "&since=" + after;
-        auto reply =
-            co_await call(verb::get, target, std::nullopt, std::chrono::milliseconds(2500), throttle);
+        auto reply = co_await call(verb::get, target, std::nullopt, page_deadline, throttle);
         const Json* entries = reply.status == 200 ? wire::find(reply.body, "entries") : nullptr;
         if (!entries || !entries->is_array()) co_return Listing{};
         if (out.revision == 0) out.revision = wire::count(reply.body, "ledger").value_or(0);
-        for (const Json& e : *entries) {
-            auto key = wire::text(e, "key");
-            const Json* value = wire::find(e, "value");
-            if (!key) co_return Listing{};
-            out.items.push_back({*key, value ? *value : Json(), wire::count(e, "mark").value_or(0)});
+        for (const Json& entry : *entries) {
+            auto item = parse_key_value(entry);
+            if (!item) co_return Listing{};
+            out.items.push_back(std::move(*item));
         }
         if (!wire::flag(reply.body, "truncated").value_or(false) || entries->empty()) break;
         after = out.items.back().key;
@@ -127,22 +184,11 @@
 Task<CompareAndSwapResult> StateClient::compare_and_swap(std::vector<Precondition> preconditions,
                                                          std::vector<Operation> operations,
                                                          Clock::duration deadline, Throttle throttle) {
-    Json conds = Json::array(), ops = Json::array();
-    for (auto& c : preconditions) conds.push_back({{"key", c.key}, {"mark", c.version}});
-    for (auto& o : operations) {
-        if (!o.value) {
-            ops.push_back({{"drop", o.key}});
-            continue;
-        }
-        Json set{{"set", o.key}, {"value", std::move(*o.value)}};
-        if (o.lease_id) set["permit"] = o.lease_id;
-        ops.push_back(std::move(set));
-    }
     if (throttle != Throttle::exempt) {
         auto wait = writes_.reserve(Clock::now(), static_cast<double>(operations.size()));
         if (throttle == Throttle::wait && wait > Clock::duration::zero()) co_await net::sleep_for(wait);
     }
-    Json body{{"if", std::move(conds)}, {"then", std::move(ops)}};
+    Json body = swap_request(preconditions, std::move(operations));
     auto reply = co_await call(verb::post, "/multi", std::move(body), deadline, throttle);
     CompareAndSwapResult out;
     out.outcome = outcome_of(reply);
@@ -154,8 +200,7 @@
 
 Task<std::optional<std::uint64_t>> StateClient::create_lease(Clock::duration ttl) {
     Json body{{"ttl_ms", std::chrono::duration_cast<std::chrono::milliseconds>(ttl).count()}};
-    auto reply = co_await call(verb::post, "/holds", std::move(body), std::chrono::milliseconds(1000),
-                               Throttle::exempt);
+    auto reply = co_await call(verb::post, "/holds", std::move(body), lease_deadline, Throttle::exempt);
     if (reply.status != 200) co_return std::nullopt;
     co_return wire::count(reply.body, "permit");
 }
@@ -169,7 +214,7 @@
 
 Task<Outcome> StateClient::revoke_lease(std::uint64_t lease_id) {
     auto reply = co_await call(verb::delete_, "/holds/" + std::to_string(lease_id), std::nullopt,
-                               std::chrono::milliseconds(1000), Throttle::exempt);
+                               lease_deadline, Throttle::exempt);
     co_return outcome_of(reply);
 }
 
@@ -179,12 +224,9 @@
     std::string target =
         "/follow?under=" + prefix + "&since=" + std::to_string(since) + "&wait_ms=" + std::to_string(ms);
     // Watches do not count for or against the service: they stay open, silent, during an outage.
-    if (throttle != Throttle::exempt) {
-        auto delay = requests_.reserve(Clock::now(), 1);
-        if (delay > Clock::duration::zero()) co_await net::sleep_for(delay);
-    }
+    if (throttle != Throttle::exempt) co_await wait_for_request_budget();
     auto reply = co_await client_.call(address_, verb::get, std::move(target), std::nullopt,
-                                       wait + std::chrono::milliseconds(1500), 8 << 20);
+                                       wait + watch_delay, largest_answer);
     WatchResult out;
     out.too_old = reply.status == 410;
     const Json* events = reply.status == 200 ? wire::find(reply.body, "events") : nullptr;
@@ -193,18 +235,7 @@
     out.ok = true;
     out.revision = *revision;
     if (events && events->is_array())
-        for (const Json& e : *events) {
-            Event ev;
-            ev.version = wire::count(e, "mark").value_or(0);
-            if (auto key = wire::text(e, "set")) {
-                ev.key = *key;
-                const Json* v = wire::find(e, "value");
-                ev.value = v ? *v : Json();
-            } else if (auto dropped = wire::text(e, "drop")) {
-                ev.key = *dropped;
-            }
-            out.events.push_back(std::move(ev));
-        }
+        for (const Json& entry : *events) out.events.push_back(parse_event(entry));
     co_return out;
 }
 
