--- a/src/leases/leases.cpp
+++ b/src/leases/leases.cpp
@@ -6,28 +6,34 @@
 using wire::Json;
 
 namespace {
-constexpr std::size_t most_named = 400;
+// A grant that would exclude more machines grants nothing: it goes with every answer to a heartbeat.
+constexpr std::size_t most_excluded_machines = 400;
+// A node that heard the leader so lately can still ask it, and pauses its own renewals.
+constexpr std::chrono::milliseconds recent_contact{2000};
+// What the timers of node and worker may be late by, together.
+constexpr std::chrono::milliseconds timer_slack{100};
+// A day: a longer age from another node would overflow further on.
+constexpr std::uint64_t longest_age_ms = 86'400'000;
 
-std::chrono::milliseconds ms(std::uint64_t n) {
-    return std::chrono::milliseconds(std::min<std::uint64_t>(n, 86'400'000));
+std::chrono::milliseconds from_ms(std::uint64_t milliseconds) {
+    return std::chrono::milliseconds(std::min(milliseconds, longest_age_ms));
 }
 
-std::uint64_t whole_ms(Clock::duration d) {
+std::uint64_t to_ms(Clock::duration duration) {
     return static_cast<std::uint64_t>(
-        std::max<std::int64_t>(0, std::chrono::duration_cast<std::chrono::milliseconds>(d).count()));
+        std::max<std::int64_t>(0, std::chrono::duration_cast<std::chrono::milliseconds>(duration).count()));
 }
 }  // namespace
 
 Clock::duration renewal_period(double lease_s, double cancel_s) {
     // Two clocks are in it, the node's and the worker's, and two timers.
-    auto left = secs(cancel_s) - longer(secs(lease_s)) - std::chrono::milliseconds(100);
-    auto keep = shorter(left);
-    return std::max(keep, Clock::duration::zero());
+    auto left = secs(cancel_s) - longer(secs(lease_s)) - timer_slack;
+    return std::max(shorter(left), Clock::duration::zero());
 }
 
 Json to_json(const RenewalGrant& grant) {
     Json out{{"token", grant.fencing_token}, {"stamp", grant.timestamp_ms}};
-    if (grant.grants_nothing || grant.excluded_machines.size() > most_named)
+    if (grant.grants_nothing || grant.excluded_machines.size() > most_excluded_machines)
         out["but"] = true;
     else
         out["but"] = grant.excluded_machines;
@@ -36,11 +42,11 @@
 
 std::optional<RenewalGrant> parse_renewal_grant(const Json& value) {
     auto fencing_token = wire::count(value, "token"), timestamp_ms = wire::count(value, "stamp");
-    const Json* but = wire::find(value, "but");
-    if (!fencing_token || !timestamp_ms || !but) return std::nullopt;
+    const Json* exclusion = wire::find(value, "but");
+    if (!fencing_token || !timestamp_ms || !exclusion) return std::nullopt;
     RenewalGrant grant{*fencing_token, *timestamp_ms, false, {}};
-    if (but->is_array()) {
-        for (auto& name : *but) {
+    if (exclusion->is_array()) {
+        for (auto& name : *exclusion) {
             if (!name.is_string()) return std::nullopt;
             grant.excluded_machines.insert(name.get<std::string>());
         }
@@ -62,10 +68,11 @@
 std::optional<Heartbeat> parse_heartbeat(const Json& value) {
     auto zone = wire::text(value, "zone");
     auto fencing_token = wire::count(value, "token"), timestamp_ms = wire::count(value, "stamp"),
-         held = wire::count(value, "held_ms"), own = wire::count(value, "own_ms");
+         grant_age = wire::count(value, "held_ms"), last_renewal_age = wire::count(value, "own_ms");
     auto pauses_renewal = wire::flag(value, "quiet");
-    if (!zone || !fencing_token || !timestamp_ms || !held || !own || !pauses_renewal) return std::nullopt;
-    return Heartbeat{*zone, *fencing_token, *timestamp_ms, *held, *pauses_renewal, *own};
+    if (!zone || !fencing_token || !timestamp_ms || !grant_age || !last_renewal_age || !pauses_renewal)
+        return std::nullopt;
+    return Heartbeat{*zone, *fencing_token, *timestamp_ms, *grant_age, *pauses_renewal, *last_renewal_age};
 }
 
 // ---- a node --------------------------------------------------------------------------------------------
@@ -91,10 +98,10 @@
     if (contact_ && grant_is_remote_) {
         out.fencing_token = grant_.fencing_token;
         out.timestamp_ms = grant_.timestamp_ms;
-        out.grant_age_ms = whole_ms(now - received_);
+        out.grant_age_ms = to_ms(now - received_);
     }
-    out.last_renewal_age_ms = whole_ms(now - last_renewal_);
-    if (contact_ && now - *contact_ < std::chrono::milliseconds(2000)) {
+    out.last_renewal_age_ms = to_ms(now - last_renewal_);
+    if (contact_ && now - *contact_ < recent_contact) {
         out.pauses_renewal = true;
         renewal_paused_until_ = std::max(renewal_paused_until_, now + longer(renewal_pause));
     }
@@ -124,34 +131,37 @@
 }
 
 std::uint64_t RenewalBound::timestamp_ms(TimePoint now) const {
-    return whole_ms(now - acquired_) + 1;
+    return to_ms(now - acquired_) + 1;
 }
 
 void RenewalBound::heard(const std::string& node, const Heartbeat& heartbeat, TimePoint now, bool granted) {
-    auto it = nodes_.find(node);
-    if (it == nodes_.end()) return;
-    Node& n = it->second;
-    n.zone = heartbeat.zone;
-    // The heartbeat may have been held for minutes: it was sent after the stamp that it brings back was
-    // given, and no later than now. It speaks for what is between only as far as both hold.
-    n.last_renewal = std::max(n.last_renewal, now - shorter(ms(heartbeat.last_renewal_age_ms)));
-    // Tokens only grow: a lower one is of an earlier term, and so is its stamp.
+    auto found = nodes_.find(node);
+    if (found == nodes_.end()) return;
+    Node& sender = found->second;
+    sender.zone = heartbeat.zone;
+    // The heartbeat may have been delayed for minutes: it was sent after the timestamp that it brings back
+    // was given, and no later than now. Both bounds are used, each where it is the safe one.
+    sender.last_renewal =
+        std::max(sender.last_renewal, now - shorter(from_ms(heartbeat.last_renewal_age_ms)));
+    // Fencing tokens only grow: a lower one is of an earlier term, and so is its timestamp.
     if (heartbeat.pauses_renewal && heartbeat.timestamp_ms > 0 &&
         heartbeat.fencing_token >= first_fencing_token_) {
-        auto sent = acquired_ + ms(heartbeat.timestamp_ms - 1) + shorter(ms(heartbeat.grant_age_ms));
+        auto sent =
+            acquired_ + from_ms(heartbeat.timestamp_ms - 1) + shorter(from_ms(heartbeat.grant_age_ms));
         if (sent <= now)
-            n.renewal_paused_until = std::max(n.renewal_paused_until, sent + shorter(renewal_pause));
+            sender.renewal_paused_until =
+                std::max(sender.renewal_paused_until, sent + shorter(renewal_pause));
     }
-    if (granted) n.grants_end = std::max(n.grants_end, now + longer(renewal_period_));
+    if (granted) sender.grants_end = std::max(sender.grants_end, now + longer(renewal_period_));
 }
 
 TimePoint RenewalBound::latest_renewal(const std::string& zone, TimePoint now) const {
     TimePoint last{};
     if (renewal_period_ <= Clock::duration::zero()) return last;
-    for (auto& [name, n] : nodes_) {
-        if (n.zone && !zone.empty() && *n.zone != zone) continue;
-        last = std::max(last, std::min(now, n.last_renewal));
-        if (now > n.renewal_paused_until) last = std::max(last, std::min(now, n.grants_end));
+    for (auto& [name, node] : nodes_) {
+        if (node.zone && !zone.empty() && *node.zone != zone) continue;
+        last = std::max(last, std::min(now, node.last_renewal));
+        if (now > node.renewal_paused_until) last = std::max(last, std::min(now, node.grants_end));
     }
     return last;
 }
