--- a/tests/cuts_test.cpp
+++ b/tests/cut_history.hpp
@@ -1,48 +1,19 @@
-// Whole histories of placement: zones that are cut off with messages held, workers whose leases run out and
-// begin new agent epochs, machines that boot late, leaders that end between any two writes. The checker sees
-// what is really on every machine, and compares what the index of rooms finds with a plain walk over all
-// machines.
+#pragma once
+// One drawn history of placement: zones that are cut off with messages held, workers whose leases expire and
+// that begin new agent epochs, machines that boot late, leaders that end between any two writes.
 #include <spdlog/fmt/fmt.h>
-#include <spdlog/spdlog.h>
 
 #include <random>
 
+#include "history.hpp"
 #include "leases/leases.hpp"
-#include "support.hpp"
 
-using namespace barrowrun;
-using namespace barrowrun::testing;
+namespace barrowrun::testing {
+
 using wire::JobKind;
 using wire::Priority;
 
-namespace {
-
-// The choice of machines as it is meant: a look at every machine.
-std::vector<Machine*> plain_rank(Cluster& cluster, const Job& job, TimePoint now) {
-    std::vector<std::pair<double, Machine*>> scored;
-    const auto& s = job.spec;
-    for (auto& [name, mp] : cluster.machines()) {
-        Machine& m = *mp;
-        auto room = m.available();
-        room -= m.reserved;
-        if (!s.need.fits(room) || !cluster.schedulable(m, now) || !cluster.eligible(s, m)) continue;
-        double fetch_s = m.has_image(s.image)  ? 0
-                         : m.fetching(s.image) ? 0.5 * s.image_gb / m.fetch_gb_per_s
-                                               : s.image_gb / m.fetch_gb_per_s;
-        double score = -fetch_s * (s.kind == JobKind::service ? 10.0 : 1.0);
-        if (s.spot_ok && m.spot) score += 8;
-        if (job.failed_on.contains(name)) score -= 1000;
-        score -= m.errors * 20.0 + (m.slowness - 1.0) * 30.0;
-        if (m.capacity.cpus > 0) score -= 3.0 * (room.cpus - s.need.cpus) / m.capacity.cpus;
-        scored.emplace_back(score, &m);
-    }
-    std::stable_sort(scored.begin(), scored.end(), [](auto& x, auto& y) { return x.first > y.first + 1e-9; });
-    std::vector<Machine*> out;
-    for (auto& [score, m] : scored) out.push_back(m);
-    return out;
-}
-
-struct CutWorld {
+struct CutHistory {
     static constexpr double lease_s = 10, cancel_s = 22;
     std::mt19937_64 random;
     placement::Config rules;
@@ -51,23 +22,21 @@
     std::uint64_t fencing_token = 10;
     std::unique_ptr<Cluster> cluster;
     Records records;
-    struct Worker {
+    struct Worker : SimulatedWorker {
         std::string zone;
         double clock = 1;  // how fast its steady clock runs
-        std::uint64_t agent_epoch = 1, seq = 0, fencing_token = 0;
         TimePoint renewed{};
-        std::map<Attempt, std::pair<TaskState, Cause>> tasks;
     };
     std::map<std::string, Worker> workers;
     std::map<std::string, TimePoint> booting;
     // Messages that a cut holds back: pushes to the workers, reports to whoever leads by then.
-    struct StoredExecutor {
+    struct HeldMessage {
         std::string machine;
         std::uint64_t fencing_token, agent_epoch;
         std::vector<Command> commands;
         std::optional<WorkerHeartbeat> heartbeat;
     };
-    std::vector<StoredExecutor> held, late;
+    std::vector<HeldMessage> held, late;
     // A node in zone b. It loses the leader with the zone, or when no leader is there; its signs of life may
     // be held, and it may be started anew.
     Clock::duration keep = leases::renewal_period(lease_s, cancel_s);
@@ -81,7 +50,7 @@
     std::size_t starts = 0, agent_epochs = 0, failovers = 0, leases_over = 0;
     std::string broken;
 
-    explicit CutWorld(std::uint64_t seed) : random(seed) {
+    explicit CutHistory(std::uint64_t seed) : random(seed) {
         rules.teams["crew"] = {};
         rules.lease_s = lease_s;
         rules.cancel_s = cancel_s;
@@ -169,7 +138,7 @@
         w.renewed = now;
         ++kept;
     }
-    void deliver(StoredExecutor& h) {
+    void deliver(HeldMessage& h) {
         auto w = workers.find(h.machine);
         if (w == workers.end()) return;
         if (h.heartbeat) {
@@ -185,26 +154,13 @@
     }
     WorkerHeartbeat heartbeat(const std::string& name) {
         Worker& w = workers[name];
-        WorkerHeartbeat r;
-        r.machine = name, r.address = "127.0.0.1:9", r.type = "small", r.zone = w.zone;
-        r.agent_epoch = w.agent_epoch, r.seq = ++w.seq, r.fencing_token = w.fencing_token;
-        for (auto& [a, s] : w.tasks) r.tasks.push_back({a, s.first, s.second, false});
-        return r;
+        return w.next_heartbeat(name, w.zone);
     }
     bool execute(const std::string& name, std::uint64_t under, std::uint64_t agent_epoch,
                  const std::vector<Command>& commands) {
         Worker& w = workers[name];
-        if (under < w.fencing_token || agent_epoch != w.agent_epoch) return false;
-        w.fencing_token = under;
-        for (auto& c : commands) {
-            auto it = w.tasks.find(c.attempt);
-            if (c.verb == Verb::launch && it == w.tasks.end()) start(name, w, c.attempt);
-            if (it == w.tasks.end()) continue;
-            if (c.verb == Verb::kill && it->second.first != TaskState::exited)
-                it->second = {TaskState::exited, Cause::stopped};
-            if (c.verb == Verb::reap && it->second.first == TaskState::exited) w.tasks.erase(it);
-        }
-        return true;
+        if (agent_epoch != w.agent_epoch) return false;
+        return w.execute(under, commands, [&](const Attempt& attempt) { start(name, w, attempt); });
     }
     // The rules, at the moment of a start.
     void start(const std::string& name, Worker& w, const Attempt& a) {
@@ -289,159 +245,114 @@
         lead();
     }
     std::string any() { return std::next(workers.begin(), static_cast<long>(pick(workers.size())))->first; }
-    void step() {
-        switch (pick(16)) {
-            case 0: {
-                wire::JobSpec s;
-                s.id = "wk-" + std::to_string(++ids);
-                s.job_class = "batch", s.image = "img", s.team = "crew";
-                s.tasks = static_cast<std::uint32_t>(1 + pick(5));
-                s.need = {static_cast<double>(1 + pick(2)), 0, 1};
-                s.priority = static_cast<Priority>(pick(4));
-                if (pick(4) == 0) s.kind = JobKind::gang, s.tasks = 2, s.one_zone = pick(2);
-                if (s.kind != JobKind::gang && pick(3) == 0) s.kind = JobKind::service, s.spread = pick(2);
-                if (pick(2)) s.checkpoint_s = 5, s.save_s = 1;
-                jobs[s.id] = s;
-                state::JobRecord record{s, wall++};
-                records.accept(record);
-                cluster->add_job(record, nullptr, now, wall);
+    // A job of any kind is accepted.
+    void submit_job() {
+        wire::JobSpec s;
+        s.id = "wk-" + std::to_string(++ids);
+        s.job_class = "batch", s.image = "img", s.team = "crew";
+        s.tasks = static_cast<std::uint32_t>(1 + pick(5));
+        s.need = {static_cast<double>(1 + pick(2)), 0, 1};
+        s.priority = static_cast<Priority>(pick(4));
+        if (pick(4) == 0) s.kind = JobKind::gang, s.tasks = 2, s.one_zone = pick(2);
+        if (s.kind != JobKind::gang && pick(3) == 0) s.kind = JobKind::service, s.spread = pick(2);
+        if (pick(2)) s.checkpoint_s = 5, s.save_s = 1;
+        jobs[s.id] = s;
+        state::JobRecord record{s, wall++};
+        records.accept(record);
+        cluster->add_job(record, nullptr, now, wall);
+    }
+    // A task on some machine may end, and its worker sends a heartbeat.
+    void end_task_and_report() {
+        auto name = any();
+        for (auto& [a, s] : workers[name].tasks)
+            if (s.first == TaskState::running && jobs[a.task.job].kind == JobKind::array && pick(4) == 0) {
+                s = {TaskState::exited, pick(6) ? Cause::done : Cause::error};
                 break;
             }
+        send_heartbeat(name);
+    }
+    // The oldest late push arrives.
+    void deliver_late_commands() {
+        if (!late.empty()) {
+            auto l = late.front();
+            late.erase(late.begin());
+            deliver(l);
+        }
+    }
+    // A machine may boot, another may be returned.
+    void scale_fleet() {
+        if (pick(4) == 0) boot(pick(2) ? "a" : "b", now + secs(static_cast<double>(pick(15))));
+        if (workers.size() > 4 && pick(4) == 0) {
+            // Returned, with an answer: it is gone with all that is on it.
+            auto name = workers.begin()->first;
+            workers.erase(name);
+            booting.erase(name);
+            cluster->machine_gone(name, "returned", now);
+        }
+    }
+    // Time passes, in which a node that is cut off may renew leases of its zone.
+    void pass_time() {
+        sign_of_life();
+        advance(std::chrono::milliseconds(200 + pick(4000)));
+        sign_of_life();
+        if (now < cut_until)
+            for (auto& [name, w] : workers)
+                if (pick(2)) keep_lease(name);
+        if (pick(40) == 0) node = std::make_unique<leases::LeaseRenewer>("b", keep, now);
+        std::size_t live = 0, after = 0;
+        for (auto& [name, m] : cluster->machines()) live += m->assignments.size();
+        cluster->tick(now, [&](const std::string& zone) { return bound->latest_renewal(zone, now); });
+        for (auto& [name, m] : cluster->machines()) after += m->assignments.size();
+        leases_over += after < live;
+    }
+    // A user cancels a job, and is told so once it is on record.
+    void cancel_any_job() {
+        if (!jobs.empty() && pick(4) == 0) {
+            auto it = std::next(jobs.begin(), static_cast<long>(pick(jobs.size())));
+            if (auto* job = cluster->find_job(it->first); job && !job->finished()) {
+                cluster->cancel(*job, now);
+                write(false);
+                cancelled.try_emplace(it->first, now);
+            }
+        }
+    }
+    void step() {
+        switch (pick(16)) {
+            case 0:
+                return submit_job();
             case 1:
             case 2:
             case 3:
                 cluster->schedule_round(now);
-                write(false);
-                break;
+                return write(false);
             case 4:
             case 5:
             case 6:
-                push(any());
-                break;
+                return push(any());
             case 7:
             case 8:
-            case 9: {
-                auto name = any();
-                for (auto& [a, s] : workers[name].tasks)
-                    if (s.first == TaskState::running && jobs[a.task.job].kind == JobKind::array &&
-                        pick(4) == 0) {
-                        s = {TaskState::exited, pick(6) ? Cause::done : Cause::error};
-                        break;
-                    }
-                send_heartbeat(name);
-                break;
-            }
+            case 9:
+                return end_task_and_report();
             case 10:
-                if (!late.empty()) {
-                    auto l = late.front();
-                    late.erase(late.begin());
-                    deliver(l);
-                }
-                break;
+                return deliver_late_commands();
             case 11:
                 cluster->schedule_round(now);
-                write(pick(4) == 0);
-                break;
+                return write(pick(4) == 0);
             case 12:
                 if (now >= cut_until && pick(3) == 0)
                     cut_until = now + secs(2 + static_cast<double>(pick(25)));
-                break;
+                return;
             case 13:
-                if (pick(4) == 0) boot(pick(2) ? "a" : "b", now + secs(static_cast<double>(pick(15))));
-                if (workers.size() > 4 && pick(4) == 0) {
-                    // Returned, with an answer: it is gone with all that is on it.
-                    auto name = workers.begin()->first;
-                    workers.erase(name);
-                    booting.erase(name);
-                    cluster->machine_gone(name, "returned", now);
-                }
-                break;
-            case 14: {
-                sign_of_life();
-                advance(std::chrono::milliseconds(200 + pick(4000)));
-                sign_of_life();
-                if (now < cut_until)
-                    for (auto& [name, w] : workers)
-                        if (pick(2)) keep_lease(name);
-                if (pick(40) == 0) node = std::make_unique<leases::LeaseRenewer>("b", keep, now);
-                std::size_t live = 0, after = 0;
-                for (auto& [name, m] : cluster->machines()) live += m->assignments.size();
-                cluster->tick(now, [&](const std::string& zone) { return bound->latest_renewal(zone, now); });
-                for (auto& [name, m] : cluster->machines()) after += m->assignments.size();
-                leases_over += after < live;
-                break;
-            }
+                return scale_fleet();
+            case 14:
+                return pass_time();
             default:
-                if (!jobs.empty() && pick(4) == 0) {
-                    auto it = std::next(jobs.begin(), static_cast<long>(pick(jobs.size())));
-                    if (auto* job = cluster->find_job(it->first); job && !job->finished()) {
-                        cluster->cancel(*job, now);
-                        write(false);
-                        cancelled.try_emplace(it->first, now);
-                    }
-                }
+                cancel_any_job();
                 if (cluster->has_unanswered_launch(now))
-                    cluster->lead(++fencing_token, now);  // the token is renewed
+                    cluster->lead(++fencing_token, now);  // the token is refreshed
                 if (pick(12) == 0) successor();
         }
     }
-    std::string wrong() {
-        if (!broken.empty()) return broken;
-        for (auto& [id, job] : cluster->jobs()) {
-            auto fast = cluster->rank_machines(*job, now), plain = plain_rank(*cluster, *job, now);
-            if (fast != plain)
-                return fmt::format("{} machines for {} by index, {} by a walk", fast.size(), id,
-                                   plain.size());
-        }
-        for (auto& [name, m] : cluster->machines()) {
-            if (m->capacity_stale) continue;  // to be brought up to date by the next look
-            auto& indexed = cluster->capacity_index().find(*m).capacity;
-            auto plain = placement::attainable_capacity(*m);
-            if (std::abs(indexed.free.cpus - m->available().cpus) > 1e-6 ||
-                indexed.has_stopping != plain.has_stopping || indexed.may_free != plain.may_free)
-                return name + " is filed wrongly";
-            for (int level = 0; level < wire::priority_levels; ++level)
-                if (std::abs(indexed.up_to_level(level).cpus - plain.up_to_level(level).cpus) > 1e-6)
-                    return name + " is filed with another reach";
-        }
-        return "";
-    }
 };
 
-}  // namespace
-
-// With leases counted from the last answered heartbeat alone, these histories start tasks twice: a session
-// that is first heard of by a push was taken for over while its worker had its whole lease left.
-TEST(CutHistories, NothingStartsTwiceWhateverIsCutOffHeldOrTakenOver) {
-    struct Quiet {
-        spdlog::level::level_enum was = spdlog::get_level();
-        Quiet() { spdlog::set_level(spdlog::level::critical); }
-        ~Quiet() { spdlog::set_level(was); }
-    } quiet;
-#ifdef __SANITIZE_ADDRESS__
-    constexpr std::uint64_t histories = 500;
-#else
-    constexpr std::uint64_t histories = 12'000;
-#endif
-    std::size_t starts = 0, agent_epochs = 0, failovers = 0, leases = 0, kept = 0;
-    for (std::uint64_t seed = 1; seed <= histories; ++seed) {
-        CutWorld w(seed);
-        for (int step = 0; step < 200; ++step) {
-            w.step();
-            auto wrong = w.wrong();
-            ASSERT_EQ(wrong, "") << "seed " << seed << ", step " << step;
-        }
-        starts += w.starts, agent_epochs += w.agent_epochs, failovers += w.failovers, leases += w.leases_over;
-        kept += w.kept;
-    }
-    EXPECT_GT(starts, 5 * histories);
-    EXPECT_GT(agent_epochs, histories);
-    EXPECT_GT(failovers, histories);
-    EXPECT_GT(leases, histories / 20);
-    EXPECT_GT(kept, histories);
-    std::printf(
-        "%llu histories: %zu starts, %zu new agent epochs, %zu failovers, %zu leases that ran out, %zu "
-        "answers "
-        "of a node that was cut off\n",
-        static_cast<unsigned long long>(histories), starts, agent_epochs, failovers, leases, kept);
-}
+}  // namespace barrowrun::testing
