--- a/src/placement/attempts.cpp
+++ b/src/placement/attempts.cpp
@@ -11,6 +11,21 @@
 namespace {
 // Names remembered: some fleets' worth.
 constexpr std::size_t max_removed_names = 50'000;
+// A first failure may be chance, and is retried soon; then each retry waits twice as long, up to a bound.
+constexpr double first_retry_s = 0.5, max_retry_s = 30;
+constexpr int max_retry_doublings = 8;
+// A start that a worker refused: what it still holds may be gone by then.
+constexpr double refused_retry_s = 1;
+// A response is at most 64 KiB, and so is a heartbeat: more commands would not fit.
+constexpr std::size_t max_commands_per_push = 300;
+// A push without an answer is settled by a new fencing token, if no heartbeat has settled it by then.
+constexpr double unanswered_launch_s = 3;
+
+// A job that fails everywhere must not burn machines: its tries grow rarer.
+double retry_delay_s(int errors_in_row) {
+    if (errors_in_row == 1) return first_retry_s;
+    return std::min(max_retry_s, first_retry_s * std::pow(2.0, std::min(errors_in_row, max_retry_doublings)));
+}
 }  // namespace
 using fleet::AssignmentChange;
 using wire::Cause;
@@ -81,9 +96,9 @@
     std::size_t n = m.live();
     m.clear(changes);
     if (n)
-        spdlog::info("machine {} is gone ({}), {} tasks move", name, proof, n);
+        spdlog::info("machine {}: gone ({}), {} tasks are rescheduled", name, proof, n);
     else
-        spdlog::info("machine {} is gone ({})", name, proof);
+        spdlog::info("machine {}: gone ({})", name, proof);
     apply(m, changes, now);
     // In no hurry: a record may name what is gone, never the other way round.
     shards_.remove_machine(name);
@@ -96,7 +111,7 @@
     std::vector<AssignmentChange> changes;
     std::size_t n = m.live();
     m.clear(changes);
-    if (n) spdlog::info("machine {}: its lease has run out, {} tasks move", m.name, n);
+    if (n) spdlog::info("machine {}: lease expired, {} tasks are rescheduled", m.name, n);
     apply(m, changes, now);
 }
 
@@ -108,7 +123,7 @@
     Machine* known = find_machine(heartbeat.machine);
     if (!known) {
         known = &add_machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, now);
-        spdlog::info("machine {} ({}, {}{}) sent its first heartbeat", heartbeat.machine, heartbeat.type,
+        spdlog::info("machine {}: first heartbeat ({}, {}{})", heartbeat.machine, heartbeat.type,
                      heartbeat.zone, heartbeat.spot ? ", spot" : "");
         mark_machine_changed(heartbeat.machine);
     }
@@ -170,8 +185,8 @@
                 if (!job) break;
                 if (c.assignment.phase != AssignmentPhase::recording &&
                     c.assignment.phase != AssignmentPhase::ready)
-                    spdlog::debug("{} attempt {} is no longer on {}", c.attempt.task.str(), c.attempt.number,
-                                  m.name);
+                    spdlog::debug("task {}: attempt {} is no longer on machine {}", c.attempt.task.str(),
+                                  c.attempt.number, m.name);
                 unplace(*job, index, m.name, c.attempt.number);
                 if (job->spec.kind == JobKind::gang && !job->finished())
                     stop_gang(*job, 0, now, "a gang task is gone");
@@ -209,30 +224,25 @@
                 job->errors_in_row++;
                 // One that fails wherever it goes speaks against itself: replicas must not be kept off every
                 // machine that it has tried.
-                if (job->failed_on.size() >= 3)
+                if (job->failed_on.size() >= failure_attribution::fails_anywhere_after)
                     for (auto& name : job->failed_on)
-                        if (Machine* tried = find_machine(name); tried && tried->attributed_errors == 0)
-                            tried->errors = 0;
-                // A job that fails everywhere must not burn machines: its tries grow rarer.
-                job->retry_at =
-                    now + secs(job->errors_in_row == 1
-                                   ? 0.5
-                                   : std::min(30.0, 0.5 * std::pow(2.0, std::min(job->errors_in_row, 8))));
+                        if (Machine* tried = find_machine(name)) failure_attribution::absolve(*tried);
+                job->retry_at = now + secs(retry_delay_s(job->errors_in_row));
             }
-            spdlog::info("{} failed on {} ({} errors in a row there, {} for the job)", a.task.str(), m.name,
-                         m.errors, job->errors_in_row);
+            spdlog::info("task {}: failed on machine {} ({} failures in a row there, {} of the job)",
+                         a.task.str(), m.name, m.errors, job->errors_in_row);
             break;
         }
         case Cause::no_room:
         case Cause::busy:
         case Cause::unknown:
-            spdlog::info("{} refused a start of {}: {}", m.name, a.task.str(),
+            spdlog::info("task {}: start refused by machine {}: {}", a.task.str(), m.name,
                          wire::exit_cause_name(e.cause));
-            job->retry_at = now + secs(1);
+            job->retry_at = now + secs(refused_retry_s);
             break;
         default:
-            spdlog::debug("{} ended on {}: {}{}", a.task.str(), m.name, wire::exit_cause_name(e.cause),
-                          e.checkpointed ? ", saved" : "");
+            spdlog::debug("task {}: ended on machine {}: {}{}", a.task.str(), m.name,
+                          wire::exit_cause_name(e.cause), e.checkpointed ? ", checkpointed" : "");
             break;
     }
     unplace(*job, a.task.index, m.name, a.number);
@@ -269,7 +279,8 @@
                 if (o != other->assignments.end() && o->second.phase == AssignmentPhase::confirmed &&
                     !o->second.exited() && other->fencing_token_seen >= first_fencing_token_ &&
                     number < a.number) {
-                    spdlog::error("{} is on {} and on {}", a.task.str(), name, m.name);
+                    spdlog::error("task {}: runs on machine {} and on machine {}", a.task.str(), name,
+                                  m.name);
                     request_stop(m, a, e, 0, now, "also elsewhere");
                 }
             }
@@ -281,7 +292,7 @@
                            const char* why) {
     if (e.exited()) return;
     if (e.stop_requested && e.grace_s <= grace) return;
-    spdlog::debug("stop {} on {}: {}", a.task.str(), m.name, why);
+    spdlog::debug("task {}: stop requested on machine {}: {}", a.task.str(), m.name, why);
     e.stop_requested = true;
     e.grace_s = grace;
     e.stop_at = now;
@@ -343,8 +354,7 @@
 std::vector<wire::Command> Cluster::push_commands(Machine& m, TimePoint now) {
     drop_unsent(m);
     auto out = m.commands(now, true, [this](auto& a, auto& e) { return may_reap(a, e); });
-    // A response is at most 64 KiB, and so is a heartbeat.
-    if (out.size() > 300) out.resize(300);
+    if (out.size() > max_commands_per_push) out.resize(max_commands_per_push);
     for (auto& c : out)
         if (c.verb == wire::Verb::launch) {
             Assignment& e = m.assignments.at(c.attempt);
@@ -377,7 +387,8 @@
     for (auto& [name, m] : machines_)
         for (auto& [a, e] : m->assignments)
             if (e.launch_unanswered && e.sent_fencing_token >= fencing_token_ &&
-                m->fencing_token_seen <= e.sent_fencing_token && now - e.placed_at > secs(3))
+                m->fencing_token_seen <= e.sent_fencing_token &&
+                now - e.placed_at > secs(unanswered_launch_s))
                 return true;
     return false;
 }
--- a/src/placement/cluster.cpp
+++ b/src/placement/cluster.cpp
@@ -40,7 +40,7 @@
         return built.tree;
     // Settings are checked when they are read. A platform's own team with a guarantee beyond its limit can
     // still come here: its limit is the rule.
-    spdlog::error("the quotas can't be used: the platform's limits alone hold");
+    spdlog::error("quotas: not usable, only the platform's limits hold");
     for (auto& t : teams) t.guarantee = {};
     return quota::Tree::build({}, teams).tree;
 }
@@ -255,8 +255,8 @@
     // The record names every task that failed and is not done; one that would outgrow its value ends the job.
     bool too_many = job.errors.size() > config_.value_bytes / 64;
     if (errors.count <= *job.spec.retries && !too_many) return;
-    spdlog::info("job {} has failed: {} failed {} times, last on {}{}", job.spec.id, a.task.str(),
-                 errors.count, m.name, too_many ? ", as did too many other tasks" : "");
+    spdlog::info("job {}: failed, as task {} failed {} times, last on machine {}{}", job.spec.id,
+                 a.task.str(), errors.count, m.name, too_many ? ", as did too many other tasks" : "");
     job.failed = true;
     cancel(job, now);
 }
--- a/src/placement/expiry.cpp
+++ b/src/placement/expiry.cpp
@@ -26,7 +26,8 @@
         failure_attribution::update_quarantine(m, now, [&] {
             return std::any_of(jobs_.begin(), jobs_.end(), [&](auto& kv) {
                 return kv.second->failed_on.contains(m.name) &&
-                       (kv.second->failed_on.size() < 3 || has_proven_run(*kv.second, now));
+                       (kv.second->failed_on.size() < failure_attribution::fails_anywhere_after ||
+                        has_proven_run(*kv.second, now));
             });
         });
         if (m.spot_reclaim_at || m.draining) {
--- a/src/placement/failure_attribution.cpp
+++ b/src/placement/failure_attribution.cpp
@@ -5,45 +5,60 @@
 #include <algorithm>
 
 namespace barrowrun::placement::failure_attribution {
+namespace {
+// Failures in a row after which a machine is quarantined: fewer if they were attributed to it.
+constexpr int quarantine_after_attributed = 2, quarantine_after = 3;
 
-void record_success(fleet::Machine& m) {
-    m.successes++;
-    m.errors = m.attributed_errors = 0;
+// A quarantined machine whose tasks keep it provisioned: what made it fail may be over, so one more trial.
+void release_for_trial(fleet::Machine& machine) {
+    machine.quarantined_since.reset();
+    machine.errors = 1;
+    machine.attributed_errors = 0;
 }
+}  // namespace
 
-void record_failure(fleet::Machine& m, bool job_proven, TimePoint now) {
-    m.errors++;
-    m.last_error = now;
+void record_success(fleet::Machine& machine) {
+    machine.successes++;
+    machine.errors = machine.attributed_errors = 0;
+}
+
+void record_failure(fleet::Machine& machine, bool job_proven, TimePoint now) {
+    machine.errors++;
+    machine.last_error = now;
     // A few of these once held a whole urgent array back: the task goes elsewhere at once.
-    if (job_proven) m.attributed_errors++;
+    if (job_proven) machine.attributed_errors++;
 }
 
-bool may_take_work(const fleet::Machine& m, bool replica, bool failed_here, TimePoint now) {
-    if (m.errors == 0 || now - m.last_error > quarantine_time) return true;
-    if (replica || (m.attributed_errors > 0 && failed_here)) return false;
-    return std::none_of(m.assignments.begin(), m.assignments.end(),
-                        [&](auto& kv) { return !kv.second.exited() && kv.second.placed_at >= m.last_error; });
+void absolve(fleet::Machine& machine) {
+    if (machine.attributed_errors == 0) machine.errors = 0;
 }
 
-void update_quarantine(fleet::Machine& m, TimePoint now, const std::function<bool()>& speaks_against) {
-    if (m.quarantined_since && now - *m.quarantined_since > quarantine_time && m.live() > 0) {
-        // What held it may be over, and what runs on it keeps it rented: one trial.
-        m.quarantined_since.reset();
-        m.errors = 1;
-        m.attributed_errors = 0;
-    }
-    if (m.quarantined_since || m.draining || m.errors < 2) return;
-    bool faulty = m.attributed_errors >= 2;
-    if (!faulty && m.errors >= 3) {
+bool may_take_work(const fleet::Machine& machine, bool replica, bool failed_here, TimePoint now) {
+    if (machine.errors == 0 || now - machine.last_error > quarantine_time) return true;
+    if (replica || (machine.attributed_errors > 0 && failed_here)) return false;
+    const bool on_trial = std::any_of(
+        machine.assignments.begin(), machine.assignments.end(),
+        [&](auto& entry) { return !entry.second.exited() && entry.second.placed_at >= machine.last_error; });
+    return !on_trial;
+}
+
+void update_quarantine(fleet::Machine& machine, TimePoint now,
+                       const std::function<bool()>& failed_by_healthy_job) {
+    if (machine.quarantined_since && now - *machine.quarantined_since > quarantine_time && machine.live() > 0)
+        release_for_trial(machine);
+    if (machine.quarantined_since || machine.draining) return;
+    if (machine.errors < quarantine_after_attributed) return;
+    bool at_fault = machine.attributed_errors >= quarantine_after_attributed;
+    if (!at_fault && machine.errors >= quarantine_after) {
         // Jobs that failed on few machines speak against it; one that fails wherever it goes does not. Each
         // job counts for itself: many faulty machines once shielded one another.
-        faulty = speaks_against();
-        if (!faulty) m.errors = 0;
+        at_fault = failed_by_healthy_job();
+        if (!at_fault) machine.errors = 0;
     }
-    if (!faulty) return;
-    spdlog::warn("machine {} fails its tasks ({} in a row): it gets no more, and is returned when empty",
-                 m.name, m.errors);
-    m.quarantined_since = now;
+    if (!at_fault) return;
+    spdlog::warn("machine {}: quarantined, {} failures in a row; returned when it is empty", machine.name,
+                 machine.errors);
+    machine.quarantined_since = now;
 }
 
 }  // namespace barrowrun::placement::failure_attribution
--- a/src/placement/quota_enforcement.cpp
+++ b/src/placement/quota_enforcement.cpp
@@ -14,8 +14,15 @@
 // Bounds what a round spends on plans, and what it stops at once: the next round goes on.
 constexpr std::size_t max_reclaim_plans_per_round = 8;
 constexpr std::uint32_t max_tasks_per_reclaim_plan = 64;
+// What preempting a task costs, in CPU seconds of lost work.
 // A replica that is stopped is missed by its users.
-constexpr double replica_loss = 100;
+constexpr double replica_cost = 100;
+// A task that checkpoints loses at most this, besides the time to write its checkpoint.
+constexpr double max_unsaved_s = 2;
+// A start counts for its users only if the task is left alone for a while.
+constexpr double settling_s = 30, unsettled_cost_s = 10;
+// Every stop costs a start elsewhere; small tasks count as this many CPUs.
+constexpr double restart_s = 2, least_cpus = 0.1;
 }  // namespace
 
 quota::NodeId Cluster::account_of(const wire::JobSpec& spec) const {
@@ -47,10 +54,10 @@
 
 double Cluster::preemption_cost(const Job& job, const Assignment& e, TimePoint now) const {
     double ran = e.started_at == TimePoint{} ? 0 : Seconds(now - e.started_at).count();
-    double lost = e.checkpoints ? std::min(ran, 2.0) + job.spec.save_s : ran;
-    // A start counts for its users only if the task is left alone for a while.
-    if (ran < 30) lost += 10;
-    return (lost + 2) * std::max(0.1, e.need.cpus) + (job.spec.kind == JobKind::service ? replica_loss : 0);
+    double lost = e.checkpoints ? std::min(ran, max_unsaved_s) + job.spec.save_s : ran;
+    if (ran < settling_s) lost += unsettled_cost_s;
+    return (lost + restart_s) * std::max(least_cpus, e.need.cpus) +
+           (job.spec.kind == JobKind::service ? replica_cost : 0);
 }
 
 wire::Resources Cluster::capacity_after_stops(const CapacityIndex::IndexedMachine& indexed) {
@@ -200,7 +207,7 @@
         }
         if (!plan.victims.empty())
             spdlog::info(
-                "{} is within its guarantee: {} borrowing tasks or gangs stop, room for {} of its tasks",
+                "job {}: preempts {} borrowing tasks or gangs within its guarantee, room for {} of its tasks",
                 s.id, plan.victims.size(), plan.task_hosts.size());
         return !plan.victims.empty();
     }
@@ -239,7 +246,7 @@
             auto& [m, a] = there->tasks[which[u]];
             Job* job = find_job(a.task.job);
             if (!job) continue;
-            spdlog::info("{} stops {}: above its limit", tree.node(n).path, a.task.str());
+            spdlog::info("task {}: preempted, {} is above its limit", a.task.str(), tree.node(n).path);
             if (units[u].parts.size() > 1)
                 stop_gang(*job, grace_for(*job), now, "above a lowered limit");
             else
--- a/src/placement/record_writes.cpp
+++ b/src/placement/record_writes.cpp
@@ -138,7 +138,7 @@
             add({state::finished_key(id), state::to_json(past), [this, id, past] {
                      Job* j = find_job(id);
                      if (!j) return;
-                     spdlog::debug("job {} is over: {}", id, wire::job_state_name(past.state));
+                     spdlog::debug("job {}: over, {}", id, wire::job_state_name(past.state));
                      finished_jobs_[id] = past;
                      for (auto& [index, list] : j->placements)
                          for (auto& [name, number] : list) note_command(name);
--- a/src/placement/scheduling.cpp
+++ b/src/placement/scheduling.cpp
@@ -6,12 +6,26 @@
 #include "placement/cluster.hpp"
 #include "placement/failure_attribution.hpp"
 #include "placement/gangs.hpp"
+#include "placement/machine_scores.hpp"
 #include "placement/preemption.hpp"
 
 namespace barrowrun::placement {
 using wire::JobKind;
 using wire::Priority;
-using wire::TaskState;
+
+namespace {
+// Work is lumpy and estimates are off: only this share of an objective's time is counted on.
+constexpr double array_wait_share = 0.7, finish_time_share = 0.8;
+// Within which a job without an objective should have started: at least this, or so many run times.
+constexpr double default_slack_s = 60, default_slack_runs = 3;
+// Where no objective says when a task should start. Seconds.
+constexpr double no_wait_objective_s = 1e9;
+// With less time than this before its start is due a task takes any machine: preemption would come too late.
+constexpr double least_preemption_slack_s = 0.2;
+// What a missing image adds to the cost of preempting on a machine, for each second of its fetch, and what
+// each level of priority above the lowest saves of a victim's cost, both as `preemption_cost` counts.
+constexpr double preemption_fetch_cost = 10, preemption_priority_discount = 10;
+}  // namespace
 
 // A machine that takes a task only becomes the better choice for the next one of the same job (a tighter fit,
 // its image under way), and no other machine changes. So the order holds for all of its tasks, and filling
@@ -24,18 +38,7 @@
         wire::Resources room = m.unreserved();
         if (!s.need.fits(room) || !schedulable(m, now) || m.assignments.size() >= max_tasks_per_machine())
             return;
-        double score = 0;
-        double fetch_s = m.has_image(s.image)  ? 0
-                         : m.fetching(s.image) ? 0.5 * s.image_gb / m.fetch_gb_per_s
-                                               : s.image_gb / m.fetch_gb_per_s;
-        score -= fetch_s * (s.kind == JobKind::service ? 10.0 : 1.0);
-        if (s.spot_ok && m.spot) score += 8;
-        if (job.failed_on.contains(m.name)) score -= 1000;
-        score -= m.errors * 20.0;
-        score -= (m.slowness - 1.0) * 30.0;
-        // The tightest fit keeps other machines whole.
-        if (m.capacity.cpus > 0) score -= 3.0 * (room.cpus - s.need.cpus) / m.capacity.cpus;
-        scored.emplace_back(score, &m);
+        scored.emplace_back(machine_scores::for_task(m, s, room, job.failed_on.contains(m.name)), &m);
     };
     capacity_index_.refresh();
     for (auto* those : candidate_classes(job)) CapacityIndex::for_each_with_free_cpus(*those, s.need, look);
@@ -58,8 +61,8 @@
     m.idle_since = now;
     if (!m.has_image(job.spec.image)) m.note_fetch(job.spec.image, job.spec.image_gb);
     shards_.add_start(m.name, {job.spec.priority, job.accepted});
-    spdlog::debug("place {} attempt {} on {}, image {}, {:.2f} s after it was accepted", a.task.str(),
-                  attempt, m.name, m.has_image(job.spec.image) ? "there" : "to fetch",
+    spdlog::debug("task {}: attempt {} placed on machine {}, image {}, {:.2f} s after its job was accepted",
+                  a.task.str(), attempt, m.name, m.has_image(job.spec.image) ? "there" : "to fetch",
                   Seconds(now - job.accepted).count());
 }
 
@@ -79,20 +82,18 @@
     std::sort(near.begin(), near.end(), CapacityIndex::ByName{});
     for (auto* indexed : near) {
         Machine& m = *indexed->machine;
-        const auto& name = m.name;
         if (!job.spec.need.fits(m.unreserved()) || !schedulable(m, now) || !cleared_for(m, job, now) ||
-            m.slowness > 1.8)
+            m.slowness > machine_scores::max_slowness)
             continue;
-        double merit = (m.has_image(job.spec.image) ? 0 : -job.spec.image_gb / m.fetch_gb_per_s) -
-                       (job.failed_on.contains(name) ? 1000 : 0) - m.errors * 20.0 + (m.spot ? 2 : 0);
-        hosts.push_back({m.zone, m.unreserved(), m.capacity.cpus, merit});
+        hosts.push_back({m.zone, m.unreserved(), m.capacity.cpus,
+                         machine_scores::for_gang_task(m, job.spec, job.failed_on.contains(m.name))});
         machines.push_back(&m);
     }
     auto where = gangs::choose(job.spec, hosts, {zones.begin(), zones.end()});
     if (where.empty()) return false;
     const std::uint64_t attempt = next_attempt();
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) place(job, i, *machines[where[i]], attempt, now);
-    spdlog::info("gang {} starts as attempt {} on {} machines", job.spec.id, attempt,
+    spdlog::info("job {}: gang starts as attempt {} on {} machines", job.spec.id, attempt,
                  std::set<std::size_t>(where.begin(), where.end()).size());
     return true;
 }
@@ -109,14 +110,14 @@
     double run = job.estimated_run_s();
     std::optional<double> left;
     auto at_most = [&](double x) { left = std::min(left.value_or(x), x); };
-    for (auto* aim : job.objectives) {
-        auto& o = *aim;
-        // Work is lumpy and estimates are off: some of the time is kept back.
-        if (o.kind == "wait") at_most((job.spec.kind == JobKind::array ? 0.7 : 1.0) * o.within_s - elapsed);
-        if (o.kind == "finished") at_most(0.8 * o.within_s - elapsed - run);
+    for (auto* objective : job.objectives) {
+        auto& o = *objective;
+        if (o.kind == "wait")
+            at_most((job.spec.kind == JobKind::array ? array_wait_share : 1.0) * o.within_s - elapsed);
+        if (o.kind == "finished") at_most(finish_time_share * o.within_s - elapsed - run);
         if (o.kind == "deadline" && job.spec.deadline_s) at_most(*job.spec.deadline_s - elapsed - run);
     }
-    return left.value_or(std::max(60.0, 3 * run));  // nobody said when
+    return left.value_or(std::max(default_slack_s, default_slack_runs * run));  // nobody said when
 }
 
 bool Cluster::may_preempt(const Job& job, TimePoint now) const {
@@ -142,8 +143,8 @@
     for (auto* those : candidate_classes(job))
         if (!those->may_free[level].empty() && zones.allows(those->zone)) sorts.push_back(those);
     auto suits = [&](const Machine& m) {
-        return schedulable(m, now) && cleared_for(m, job, now) && m.slowness <= 1.8 &&
-               (!with_image || m.has_image(job.spec.image));
+        return schedulable(m, now) && cleared_for(m, job, now) &&
+               m.slowness <= machine_scores::max_slowness && (!with_image || m.has_image(job.spec.image));
     };
     // Room that is being made, on machines where there is some: where something stops, or enough is free.
     std::vector<const CapacityIndex::IndexedMachine*> near;
@@ -179,7 +180,7 @@
         preemption::Candidate option{
             capacity_after_stops(*indexed),
             {},
-            m.has_image(job.spec.image) ? 0 : 10 * job.spec.image_gb / m.fetch_gb_per_s};
+            m.has_image(job.spec.image) ? 0 : preemption_fetch_cost * job.spec.image_gb / m.fetch_gb_per_s};
         for (auto& [a, e] : m.assignments) {
             if (!e.preemptible_by(job.spec.priority) || (kept_only && !e.checkpoints)) continue;
             Job* other = find_job(a.task.job);
@@ -191,9 +192,9 @@
                 ledger_.tasks_within_guarantee(
                     job.account, need, 1, ledger_.tree().lowest_common_ancestor(e.account, job.account)) == 0)
                 continue;
-            option.victims.push_back(
-                {victims.size(), e.need,
-                 preemption_cost(*other, e, now) - 10.0 * static_cast<double>(e.priority)});
+            option.victims.push_back({victims.size(), e.need,
+                                      preemption_cost(*other, e, now) -
+                                          preemption_priority_discount * static_cast<double>(e.priority)});
             victims.push_back(a);
         }
         if (option.victims.empty()) continue;
@@ -221,13 +222,13 @@
         out.tasks += step.tasks;
     }
     if (stopped)
-        spdlog::info("{} makes room on {} machines, {} first: {} lower tasks stop", job.spec.id, on,
-                     first->name, stopped);
+        spdlog::info("job {}: preempts {} lower tasks on {} machines, {} first", job.spec.id, stopped, on,
+                     first->name);
     return out;
 }
 
 double Cluster::wait_objective_slack_s(const Job& job, TimePoint now) const {
-    double slack = 1e9;
+    double slack = no_wait_objective_s;
     for (auto* o : job.objectives)
         if (o->kind == "wait") slack = std::min(slack, o->within_s - Seconds(now - job.accepted).count());
     return slack;
@@ -265,7 +266,7 @@
         if (m && make_way && s.priority <= Priority::high && !m->has_image(s.image)) {
             // The fetch alone would take longer than the start may: lower work yields where the image is.
             double slack = wait_objective_slack_s(job, now);
-            if (slack > 0.2 && s.image_gb / m->fetch_gb_per_s > slack) {
+            if (slack > least_preemption_slack_s && machine_scores::image_fetch_s(*m, s) > slack) {
                 auto made = preempt_for(job, 1, now, true);
                 if (made.tasks > 0) {
                     out.stopped |= made.stopped;
