--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -1,5 +1,6 @@
 #include "config/schema.hpp"
 
+#include <algorithm>
 #include <valijson/adapters/nlohmann_json_adapter.hpp>
 #include <valijson/schema.hpp>
 #include <valijson/schema_parser.hpp>
@@ -7,42 +8,59 @@
 #include <valijson/validator.hpp>
 
 namespace barrowrun::config {
+namespace {
 
-nlohmann::json parse_validated(const std::string& text, const std::string& schema_text) {
-    using Json = nlohmann::json;
-    Json given = Json::parse(text, nullptr, false);
-    if (given.is_discarded()) throw ConfigError("not JSON");
-    Json schema_json = Json::parse(schema_text);
-    valijson::Schema schema;
-    valijson::SchemaParser parser;
-    valijson::adapters::NlohmannJsonAdapter schema_adapter(schema_json), given_adapter(given);
-    parser.populateSchema(schema_adapter, schema);
-    valijson::Validator validator;
-    valijson::ValidationResults results;
-    if (validator.validate(schema, given_adapter, &results)) return given;
-    std::string path, why = "does not match the schema";
+using Json = nlohmann::json;
+
+struct SchemaViolation {
+    std::size_t depth = 0;  // of the place in the document; the root has 1
+    std::string path;       // as in <root>[quotas][nodes]
+    std::string reason = "does not match the schema";
+};
+
+// The violation that names the deepest place: those above only say that something below is wrong.
+SchemaViolation deepest_violation(valijson::ValidationResults& results) {
+    SchemaViolation deepest;
     valijson::ValidationResults::Error error;
-    // The one that names the deepest place says what is wrong there.
-    std::size_t depth = 0;
     while (results.popError(error)) {
-        if (error.context.size() < depth || (error.context.size() == depth && depth > 0)) continue;
-        depth = error.context.size();
-        path.clear();
-        for (auto& part : error.context) path += part;
-        why = error.description;
-    }
-    // What the schema expects there, as far as it is one property of the root.
-    if (depth == 2) {
-        auto name = path.substr(path.find('[') + 1);
-        name = name.substr(0, name.find(']'));
-        auto properties = schema_json.find("properties");
-        if (properties != schema_json.end() && properties->contains(name)) {
-            auto expected = (*properties)[name];
-            expected.erase("description");
-            why += " expected " + expected.dump();
-        }
+        const auto depth = error.context.size();
+        if (depth < deepest.depth || (depth == deepest.depth && depth > 0)) continue;
+        deepest.depth = depth;
+        deepest.path.clear();
+        for (auto& part : error.context) deepest.path += part;
+        deepest.reason = error.description;
     }
-    throw ConfigError(path + ": " + why);
+    return deepest;
+}
+
+// What the schema says of a property of the root, as " expected {...}"; empty: the place is another one.
+std::string expectation(const Json& schema, const SchemaViolation& violation) {
+    constexpr std::size_t depth_of_properties = 2;
+    if (violation.depth != depth_of_properties) return "";
+    auto name = violation.path.substr(violation.path.find('[') + 1);
+    name.resize(std::min(name.size(), name.find(']')));
+    const auto properties = schema.find("properties");
+    if (properties == schema.end() || !properties->contains(name)) return "";
+    auto expected = (*properties)[name];
+    expected.erase("description");
+    return " expected " + expected.dump();
+}
+
+}  // namespace
+
+nlohmann::json parse_validated(const std::string& text, const std::string& schema) {
+    Json document = Json::parse(text, nullptr, false);
+    if (document.is_discarded()) throw ConfigError("not JSON");
+    const Json schema_document = Json::parse(schema);
+    valijson::Schema parsed_schema;
+    valijson::SchemaParser parser;
+    valijson::adapters::NlohmannJsonAdapter schema_adapter(schema_document), document_adapter(document);
+    parser.populateSchema(schema_adapter, parsed_schema);
+    valijson::Validator validator;
+    valijson::ValidationResults results;
+    if (validator.validate(parsed_schema, document_adapter, &results)) return document;
+    const auto violation = deepest_violation(results);
+    throw ConfigError(violation.path + ": " + violation.reason + expectation(schema_document, violation));
 }
 
 }  // namespace barrowrun::config
--- a/src/quota/ledger.cpp
+++ b/src/quota/ledger.cpp
@@ -3,19 +3,25 @@
 #include <algorithm>
 #include <cmath>
 
+#include "quota/tolerance.hpp"
+
 namespace barrowrun::quota {
 namespace {
-constexpr double eps = 1e-6;
-
-// How many tasks fit a room; amounts that a task doesn't need don't matter.
-std::uint32_t fits(const Resources& need, const Resources& used, const Resources& bound,
-                   std::uint32_t wanted) {
-    double n = wanted;
-    for (auto dim : dimensions)
-        if (need.*dim > 0 && bound.*dim < no_limit)
-            n = std::min(n, std::floor((bound.*dim - used.*dim + eps) / (need.*dim)));
-    return n <= 0 ? 0 : static_cast<std::uint32_t>(n);
+
+// How many tasks fit between what is used and a bound, at most `wanted`. Amounts that a task doesn't need
+// don't matter.
+std::uint32_t tasks_that_fit(const Resources& need, const Resources& used, const Resources& bound,
+                             std::uint32_t wanted) {
+    double tasks = wanted;
+    for (auto dimension : dimensions) {
+        const bool is_bounded = need.*dimension > 0 && bound.*dimension < no_limit;
+        if (!is_bounded) continue;
+        const double free = bound.*dimension - used.*dimension + amount_tolerance;
+        tasks = std::min(tasks, std::floor(free / (need.*dimension)));
+    }
+    return tasks <= 0 ? 0 : static_cast<std::uint32_t>(tasks);
 }
+
 }  // namespace
 
 void Ledger::charge(NodeId account, const Resources& need) {
@@ -38,20 +44,20 @@
 std::uint32_t Ledger::admissible_tasks(NodeId account, const Resources& need, std::uint32_t wanted) const {
     if (!tree_->has_limits()) return wanted;
     for (NodeId n = account; n != root && wanted > 0; n = tree_->node(n).parent)
-        wanted = fits(need, used_[n], tree_->node(n).limit, wanted);
+        wanted = tasks_that_fit(need, used_[n], tree_->node(n).limit, wanted);
     return wanted;
 }
 
 std::optional<NodeId> Ledger::first_exceeded_limit(NodeId account, const Resources& need) const {
     for (NodeId n = account; n != root; n = tree_->node(n).parent)
-        if (fits(need, used_[n], tree_->node(n).limit, 1) == 0) return n;
+        if (tasks_that_fit(need, used_[n], tree_->node(n).limit, 1) == 0) return n;
     return std::nullopt;
 }
 
 std::uint32_t Ledger::tasks_within_guarantee(NodeId account, const Resources& need, std::uint32_t wanted,
                                              NodeId top) const {
-    std::uint32_t most = 0;
     if (!tree_->has_guarantees()) return 0;
+    std::uint32_t most = 0;
     for (NodeId n = account; n != root && n != top; n = tree_->node(n).parent)
         most = std::max(most, tasks_within_guarantee_of(n, need, wanted));
     return most;
@@ -68,9 +74,9 @@
     std::uint32_t deepest = 0;
     for (NodeId n : tree_->guaranteed_nodes()) {
         const Node& node = tree_->node(n);
-        if (node.depth > deepest &&
-            (used_[n].cpus < node.guarantee.cpus - eps || used_[n].gpus < node.guarantee.gpus - eps))
-            deepest = node.depth;
+        const bool unmet = used_[n].cpus < node.guarantee.cpus - amount_tolerance ||
+                           used_[n].gpus < node.guarantee.gpus - amount_tolerance;
+        if (unmet) deepest = std::max(deepest, node.depth);
     }
     return deepest;
 }
@@ -80,18 +86,20 @@
     if (!node.has_guarantee()) return 0;
     Resources bound = node.guarantee;
     if (!node.memory_guaranteed) bound.mem_gb = no_limit;
-    return fits(need, used_[n], bound, wanted);
+    return tasks_that_fit(need, used_[n], bound, wanted);
 }
 
-bool Ledger::may_be_preempted(NodeId holder, const Resources& need, NodeId to) const {
-    const NodeId shared = tree_->lowest_common_ancestor(holder, to);
+bool Ledger::may_be_preempted(NodeId holder, const Resources& need, NodeId beneficiary) const {
+    const NodeId shared = tree_->lowest_common_ancestor(holder, beneficiary);
     for (NodeId n = holder; n != shared; n = tree_->node(n).parent) {
         const Node& node = tree_->node(n);
         if (!node.has_guarantee()) continue;
+        // One amount of which it borrows is enough: a task goes as a whole.
         bool borrows = false;
-        for (auto dim : dimensions) {
-            if (dim == &Resources::mem_gb && !node.memory_guaranteed) continue;
-            borrows |= need.*dim > 0 && used_[n].*dim - need.*dim >= node.guarantee.*dim - eps;
+        for (auto dimension : dimensions) {
+            if (dimension == &Resources::mem_gb && !node.memory_guaranteed) continue;
+            const double without = used_[n].*dimension - need.*dimension;
+            borrows |= need.*dimension > 0 && without >= node.guarantee.*dimension - amount_tolerance;
         }
         if (!borrows) return false;
     }
@@ -100,9 +108,9 @@
 
 Resources Ledger::over_limit(NodeId n) const {
     Resources out;
-    for (auto dim : dimensions) {
-        const double by = used_[n].*dim - tree_->node(n).limit.*dim;
-        if (by > eps) out.*dim = by;
+    for (auto dimension : dimensions) {
+        const double excess = used_[n].*dimension - tree_->node(n).limit.*dimension;
+        if (excess > amount_tolerance) out.*dimension = excess;
     }
     return out;
 }
