--- a/src/api/command_dispatcher.cpp
+++ b/src/api/command_dispatcher.cpp
@@ -1,165 +1,164 @@
-// A term's part with workers: heartbeats, commands, questions.
-#include <spdlog/spdlog.h>
+#include "api/command_dispatcher.hpp"
 
-#include "api/leader.hpp"
+#include <spdlog/spdlog.h>
 
 namespace barrowrun::api {
+using fleet::AssignmentPhase;
+using net::Task;
 using net::http::verb;
 using namespace std::chrono_literals;
 
-Task<Response> Leader::worker_heartbeat(wire::WorkerHeartbeat heartbeat, bool direct) {
-    auto self = shared_from_this();
-    const Response not_entitled{503, {{"error", "not entitled to act"}}};
-    if (!may_act()) co_return not_entitled;
+namespace {
+constexpr std::chrono::milliseconds command_deadline{1500}, status_deadline{1000};
+// A kill without an effect is sent again after so long.
+constexpr std::chrono::milliseconds kill_repeat_interval{1200};
+// What comes up while a dispatch is in flight goes with the next, so many times at most.
+constexpr int max_rounds = 5;
+
+bool launch_ready(const fleet::Machine& machine) {
+    for (auto& [attempt, assignment] : machine.assignments)
+        if (!assignment.exited() && !assignment.stop_requested && assignment.phase == AssignmentPhase::ready)
+            return true;
+    return false;
+}
+
+bool kill_due(const fleet::Machine& machine, TimePoint now) {
+    for (auto& [attempt, assignment] : machine.assignments)
+        if (!assignment.exited() && assignment.stop_requested &&
+            assignment.phase != AssignmentPhase::recording &&
+            now - assignment.stop_sent > kill_repeat_interval)
+            return true;
+    return false;
+}
+}  // namespace
+
+void CommandDispatcher::dispatch_pending() {
     auto now = Clock::now();
-    last_worker_heartbeat_ = now;
-    direct ? reachability_.heard_directly(now) : reachability_.heard_via_peer(now);
-    auto fencing_token = services_.election.fencing_token();
-    if (!recovered_) {
-        auto [it, fresh] = pending_heartbeats_.try_emplace(heartbeat.machine, heartbeat);
-        if (!fresh && std::pair(it->second.agent_epoch, it->second.seq) <
-                          std::pair(heartbeat.agent_epoch, heartbeat.seq))
-            it->second = heartbeat;
-        // What the predecessor has confirmed as cancelled stands in the records, and an outage that begins
-        // before they are read may last for longer than `cancel_s`.
-        if (!services_.renewer.may_renew(heartbeat.machine, now)) co_return not_entitled;
-        if (cell_delegations_ && !cell_delegations_->may_renew(heartbeat, nullptr)) co_return not_entitled;
-        renewals_before_recovery_[heartbeat.machine] = now;
-        co_return Response{200, wire::worker_heartbeat_answer(fencing_token, {})};
+    for (auto& name : host_.cluster.take_machines_with_commands()) {
+        auto* machine = host_.cluster.find_machine(name);
+        if (!machine || machine->pushing || !machine->push_reachable || !machine->up ||
+            machine->address.empty() || machine->returning)
+            continue;
+        if (launch_ready(*machine) || kill_due(*machine, now))
+            host_.spawn("push " + name, dispatch(name, Purpose::commands));
     }
-    cluster_.lead(fencing_token, acquired_);
-    bool newer = cluster_.on_heartbeat(heartbeat, true, now);
-    auto* m = cluster_.find_machine(heartbeat.machine);
-    if (!m) co_return not_entitled;
-    if (!newer && heartbeat.agent_epoch != m->agent_epoch) co_return not_entitled;
-    if (cell_delegations_ && !cell_delegations_->may_renew(heartbeat, m)) co_return not_entitled;
-    if (!m->may_renew(now, renewal_period_)) co_return not_entitled;
-    // Not newer, but of this agent epoch: an answer to a push has overtaken it. The worker still waits for
-    // this one.
-    auto commands = cluster_.reply_commands(*m, now, newer && !m->returning);
-    if (commands.size() > 300) commands.resize(300);
-    m->last_answer = now;
-    placement_signal_.wake();
-    if (cluster_.has_writes()) write_signal_.wake();
-    dispatch_pending_commands();
-    co_return Response{200, wire::worker_heartbeat_answer(fencing_token, commands)};
 }
 
-void Leader::lease_renewed(const std::string& machine, TimePoint when) {
-    if (!recovered_)
-        renewals_before_recovery_[machine] = when;
-    else if (auto* m = cluster_.find_machine(machine))
-        m->last_answer = std::max(m->last_answer, when);
+void CommandDispatcher::fence(const std::string& machine) {
+    host_.spawn("fence " + machine, dispatch(machine, Purpose::fence));
 }
 
-void Leader::dispatch_pending_commands() {
-    auto now = Clock::now();
-    for (auto& name : cluster_.take_machines_with_commands()) {
-        auto* m = cluster_.find_machine(name);
-        if (!m || m->pushing || !m->push_reachable || !m->up || m->address.empty() || m->returning) continue;
-        bool wanted = false;
-        for (auto& [a, e] : m->assignments) {
-            if (e.exited()) continue;
-            if (e.stop_requested
-                    ? (e.phase != fleet::AssignmentPhase::recording && now - e.stop_sent > 1200ms)
-                    : e.phase == fleet::AssignmentPhase::ready)
-                wanted = true;
-        }
-        if (wanted) spawn("push " + name, dispatch(name, false));
+void CommandDispatcher::fence_all(std::deque<std::string> machines, int at_once) {
+    auto shared = std::make_shared<std::deque<std::string>>(std::move(machines));
+    for (int i = 0; i < at_once; ++i) host_.spawn("fences", fence_known_workers(shared));
+}
+
+Task<> CommandDispatcher::fence_known_workers(std::shared_ptr<std::deque<std::string>> machines) {
+    while (!machines->empty()) {
+        auto name = std::move(machines->front());
+        machines->pop_front();
+        // One that has reported to us by now knows our token.
+        auto* machine = host_.cluster.find_machine(name);
+        if (machine && !(machine->up && machine->fencing_token_seen >= host_.cluster.fencing_token()))
+            co_await dispatch(name, Purpose::fence);
     }
 }
 
-Task<> Leader::dispatch(std::string name, bool fence) {
-    bool again = true;
-    for (int round = 0; again && round < 5; ++round) {
-        again = false;
-        auto* m = cluster_.find_machine(name);
-        if (!m || m->pushing || m->returning || m->address.empty() || !may_act()) co_return;
+// During the call the machine may go, report by itself, or be given other work; leadership may be lost.
+Task<> CommandDispatcher::dispatch(std::string name, Purpose purpose) {
+    auto& cluster = host_.cluster;
+    for (int round = 0; round < max_rounds; ++round) {
+        auto* machine = cluster.find_machine(name);
+        if (!machine || machine->pushing || machine->returning || machine->address.empty() ||
+            !host_.may_act())
+            co_return;
         auto now = Clock::now();
-        auto fencing_token = services_.election.fencing_token();
-        cluster_.lead(fencing_token, acquired_);
-        m->pushing = true;
-        auto agent_epoch = m->agent_epoch;
-        auto address = m->address;
+        const auto fencing_token = services_.election.fencing_token();
+        cluster.lead(fencing_token, host_.acquired);
+        const auto agent_epoch = machine->agent_epoch;
+        auto address = machine->address;
         std::vector<wire::Command> commands;
-        if (m->up) {
-            commands = cluster_.push_commands(*m, now);
-            for (auto& c : commands)
-                if (c.verb == wire::Verb::kill) m->assignments.at(c.attempt).stop_sent = now;
-        }
-        if (commands.empty() && !fence) {
-            m->pushing = false;
-            co_return;
-        }
-        auto reply = co_await services_.workers.call(
-            address, verb::post, "/commands", wire::push_json(fencing_token, agent_epoch, commands), 1500ms);
-        m = cluster_.find_machine(name);
-        if (!m) co_return;
-        m->pushing = false;
+        if (machine->up) commands = cluster.push_commands(*machine, now);
+        for (auto& command : commands)
+            if (command.verb == wire::Verb::kill) machine->assignments.at(command.attempt).stop_sent = now;
+        if (commands.empty() && purpose != Purpose::fence) co_return;
+        machine->pushing = true;
+        auto reply = co_await services_.workers.call(address, verb::post, "/commands",
+                                                     wire::push_json(fencing_token, agent_epoch, commands),
+                                                     command_deadline);
+        machine = cluster.find_machine(name);
+        if (!machine) co_return;
+        machine->pushing = false;
         now = Clock::now();
-        bool executed = reply.status == 200;
-        bool may_execute = reply.status == 0 && reply.may_execute;
-        cluster_.push_answered(*m, commands, fencing_token, executed, may_execute, now);
-        if (reply.status == 200 || reply.status == 409) {
-            m->push_reachable = true;
-            reachability_.heard_directly(now);
-            auto heartbeat = wire::parse_worker_heartbeat(reply.body);
-            if (heartbeat && heartbeat->machine == name) {
-                bool new_agent_epoch = heartbeat->agent_epoch != agent_epoch;
-                cluster_.on_heartbeat(*heartbeat, false, now);
-                m = cluster_.find_machine(name);
-                // Refused for its agent epoch: once more with the right one. Refused for the token: another
-                // leads.
-                if (reply.status == 409) {
-                    if (heartbeat->fencing_token > services_.election.fencing_token()) {
-                        spdlog::warn("machine {} knows a newer token: {}", name, heartbeat->fencing_token);
-                        services_.election.suspect_lost_leadership();
-                        co_return;
-                    }
-                    again = new_agent_epoch;
-                } else {
-                    fence = false;
-                    again = true;
-                }
-            } else {
-                spdlog::error("machine {} answers with something that is no heartbeat", name);
-            }
-            placement_signal_.wake();
-            if (cluster_.has_writes()) write_signal_.wake();
-        } else {
-            if (m->push_reachable) spdlog::info("machine {} does not answer at its address", name);
-            m->push_reachable = false;
-            m->probed = now;
-        }
-        if (again && !fence) {
-            // Only if there is something new to send.
-            again = false;
-            m = cluster_.find_machine(name);
-            if (!m) co_return;
-            for (auto& [a, e] : m->assignments)
-                if (!e.exited() && !e.stop_requested && e.phase == fleet::AssignmentPhase::ready)
-                    again = true;
+        const bool executed = reply.status == 200;
+        const bool may_execute = reply.status == 0 && reply.may_execute;
+        cluster.push_answered(*machine, commands, fencing_token, executed, may_execute, now);
+        const auto next = handle_answer(*machine, reply, agent_epoch, now);
+        if (next == Next::done) co_return;
+        if (next == Next::look_for_more) purpose = Purpose::commands;
+        if (purpose == Purpose::fence) continue;
+        // Only if there is something new to send.
+        machine = cluster.find_machine(name);
+        if (!machine || !launch_ready(*machine)) co_return;
+    }
+}
+
+CommandDispatcher::Next CommandDispatcher::handle_answer(fleet::Machine& machine, const net::Reply& reply,
+                                                         std::uint64_t sent_agent_epoch, TimePoint now) {
+    const bool executed = reply.status == 200, refused = reply.status == 409;
+    if (!executed && !refused) {
+        if (machine.push_reachable) spdlog::info("machine {} does not answer at its address", machine.name);
+        machine.push_reachable = false;
+        machine.probed = now;
+        return Next::done;
+    }
+    machine.push_reachable = true;
+    host_.worker_answered(now);
+    auto next = Next::done;
+    auto heartbeat = wire::parse_worker_heartbeat(reply.body);
+    if (heartbeat && heartbeat->machine == machine.name) {
+        host_.cluster.on_heartbeat(*heartbeat, false, now);
+        // Refused for the token: another leads. Refused for its agent epoch: once more with the right one.
+        if (refused && heartbeat->fencing_token > services_.election.fencing_token()) {
+            spdlog::warn("machine {} knows a newer token: {}", heartbeat->machine, heartbeat->fencing_token);
+            services_.election.suspect_lost_leadership();
+            return Next::done;
         }
+        if (executed)
+            next = Next::look_for_more;
+        else if (heartbeat->agent_epoch != sent_agent_epoch)
+            next = Next::repeat_for_agent_epoch;
+    } else {
+        spdlog::error("machine {} answers with something that is no heartbeat", machine.name);
     }
+    host_.wake_placement();
+    host_.wake_writes_if_any();
+    return next;
+}
+
+void CommandDispatcher::probe(fleet::Machine& machine) {
+    machine.probing = true;
+    host_.spawn("probe " + machine.name, request_status(machine.name));
 }
 
-Task<> Leader::probe(std::string name) {
-    auto* m = cluster_.find_machine(name);
-    if (!m || m->address.empty()) co_return;
-    auto reply = co_await services_.workers.call(m->address, verb::get, "/inspect", std::nullopt, 1000ms);
-    m = cluster_.find_machine(name);
-    if (!m) co_return;
-    m->probing = false;
+Task<> CommandDispatcher::request_status(std::string name) {
+    auto* machine = host_.cluster.find_machine(name);
+    if (!machine || machine->address.empty()) co_return;
+    auto reply = co_await services_.workers.call(machine->address, verb::get, "/inspect", std::nullopt,
+                                                 status_deadline);
+    machine = host_.cluster.find_machine(name);
+    if (!machine) co_return;
+    machine->probing = false;
     auto heartbeat = reply.status == 200 ? wire::parse_worker_heartbeat(reply.body) : std::nullopt;
     if (!heartbeat || heartbeat->machine != name) {
-        m->missed_probes++;
+        machine->missed_probes++;
         co_return;
     }
-    m->push_reachable = true;
-    reachability_.heard_directly(Clock::now());
-    cluster_.on_heartbeat(*heartbeat, false, Clock::now());
-    placement_signal_.wake();
-    dispatch_pending_commands();
+    machine->push_reachable = true;
+    host_.worker_answered(Clock::now());
+    host_.cluster.on_heartbeat(*heartbeat, false, Clock::now());
+    host_.wake_placement();
+    dispatch_pending();
 }
 
 }  // namespace barrowrun::api
--- a/src/api/leader.cpp
+++ b/src/api/leader.cpp
@@ -2,22 +2,63 @@
 
 #include <spdlog/spdlog.h>
 
+#include "api/in_flight.hpp"
+#include "api/responses.hpp"
+
 namespace barrowrun::api {
-using net::http::verb;
-using placement::Write;
 using state::Outcome;
 using namespace std::chrono_literals;
 
+namespace {
+// Within the 3.5 s for which another node that forwards a cancellation waits.
+constexpr std::chrono::seconds cancellation_wait{3};
+constexpr std::chrono::milliseconds cancellation_poll{10};
+// An answer to a heartbeat stays within a message; the rest goes with the next.
+constexpr std::size_t max_commands_per_answer = 300;
+constexpr std::chrono::milliseconds tick_interval{200};
+// Not again before the workers that the first one fences can have answered.
+constexpr std::chrono::seconds token_refresh_interval{4};
+// So that another node, which workers may reach, is elected.
+constexpr std::chrono::seconds step_down_pause{15};
+constexpr std::chrono::seconds starvation_check_interval{5};
+
+Response not_now() {
+    return error_response(503, "not now", 1);
+}
+
+Response not_entitled() {
+    return error_response(503, "not entitled to act");
+}
+}  // namespace
+
 Leader::Leader(Services services, std::uint64_t fencing_token, TimePoint acquired)
     : services_(services),
       cluster_(services.settings.placement),
       duties_(services.io),
       placement_signal_(services.io),
-      write_signal_(services.io),
       acquired_(acquired),
-      failure_detector_({secs(services.settings.placement.heartbeat_s),
-                         secs(services.settings.placement.lease_s), max_concurrent_probes}),
-      reachability_(secs(services.settings.placement.heartbeat_s), acquired),
+      record_writer_(services, {cluster_, acquired, [this] { return may_act(); },
+                                [this] {
+                                    placement_signal_.wake();
+                                    dispatcher_.dispatch_pending();
+                                }}),
+      dispatcher_(services,
+                  {cluster_, acquired, [this] { return may_act(); },
+                   [this](std::string name, Task<> duty) { spawn(std::move(name), std::move(duty)); },
+                   [this](TimePoint now) { worker_monitor_.worker_answered(now); },
+                   [this] { placement_signal_.wake(); }, [this] { wake_writes_if_any(); }}),
+      provisioner_(services,
+                   {cluster_, [this] { return may_act(); }, [this] { return stopped_; },
+                    [this](std::string name, Task<> duty) { spawn(std::move(name), std::move(duty)); },
+                    [this] { placement_signal_.wake(); }, [this] { record_writer_.wake(); }}),
+      quotas_(services, {cluster_, [this] { return may_act(); }, [this] { placement_signal_.wake(); }}),
+      worker_monitor_(
+          services.settings.placement, acquired,
+          {cluster_, services.state, [this](fleet::Machine& machine) { dispatcher_.probe(machine); },
+           [this](const std::string& machine) { dispatcher_.fence(machine); },
+           [this](std::vector<std::string> machines) {
+               provisioner_.return_machines("return", std::move(machines), ReturnReason::prove_empty);
+           }}),
       renewal_period_(
           leases::renewal_period(services.settings.placement.lease_s, services.settings.placement.cancel_s)),
       // Reckoned with even where it is switched off: a predecessor may have had it on.
@@ -29,7 +70,7 @@
         *services_.settings.cells,
         CellDelegations::Host{
             cluster_, services_.state, services_.peers, [this] { return may_act(); },
-            [this] { write_signal_.wake(); }, [this] { placement_signal_.wake(); },
+            [this] { record_writer_.wake(); }, [this] { placement_signal_.wake(); },
             [this](std::string name, Task<> duty) { spawn(std::move(name), std::move(duty)); },
             services_.settings.max_clock_error,
             std::chrono::ceil<std::chrono::milliseconds>(longer(secs(services_.settings.placement.cancel_s))),
@@ -66,7 +107,7 @@
     if (cluster_.find_job(record.spec.id) || cluster_.finished_job(record.spec.id)) return;
     auto now = Clock::now();
     cluster_.add_job(record, nullptr, now, wall_ms());
-    autoscaler_.note_arrival(record.spec, now);
+    provisioner_.note_arrival(record.spec, now);
     placement_signal_.wake();
 }
 
@@ -119,35 +160,34 @@
     return std::nullopt;
 }
 
+Task<std::optional<Response>> Leader::load_unknown_job(std::string id) {
+    if (cluster_.find_job(id) || cluster_.finished_job(id)) co_return std::nullopt;
+    auto record = co_await services_.state.get(state::job_key(id));
+    if (record.outcome == Outcome::ok) {
+        if (auto parsed = state::parse_job_record(record.value)) add_job(*parsed);
+        co_return std::nullopt;
+    }
+    if (record.outcome != Outcome::absent) co_return not_now();
+    auto finished = co_await services_.state.get(state::finished_key(id));
+    if (finished.outcome == Outcome::absent) co_return error_response(404, "no such job");
+    if (finished.outcome != Outcome::ok) co_return not_now();
+    if (auto parsed = state::parse_finished_record(finished.value))
+        cluster_.remember_finished_job(id, *parsed);
+    co_return std::nullopt;
+}
+
 Task<Response> Leader::cancel(std::string id) {
     auto self = shared_from_this();
-    const Response later{503, {{"error", "not now"}}, 1};
-    if (!recovered_ || !may_act()) co_return later;
-    if (!cluster_.find_job(id) && !cluster_.finished_job(id)) {
-        auto record = co_await services_.state.get(state::job_key(id));
-        if (record.outcome == Outcome::ok) {
-            if (auto parsed = state::parse_job_record(record.value)) add_job(*parsed);
-        } else if (record.outcome == Outcome::absent) {
-            auto past = co_await services_.state.get(state::finished_key(id));
-            if (past.outcome == Outcome::ok) {
-                if (auto parsed = state::parse_finished_record(past.value))
-                    cluster_.remember_finished_job(id, *parsed);
-            } else if (past.outcome == Outcome::absent) {
-                co_return Response{404, {{"error", "no such job"}}};
-            } else {
-                co_return later;
-            }
-        } else {
-            co_return later;
-        }
-    }
-    auto until = Clock::now() + 3s;
+    if (!recovered_ || !may_act()) co_return not_now();
+    auto failure = co_await load_unknown_job(id);
+    if (failure) co_return std::move(*failure);
+    const auto until = Clock::now() + cancellation_wait;
     bool asked = false;
     while (may_act() && Clock::now() < until) {
-        if (auto past = cluster_.finished_job(id))
-            co_return Response{200, wire::accepted_json(id, past->state)};
+        if (auto finished = cluster_.finished_job(id))
+            co_return Response{200, wire::accepted_json(id, finished->state)};
         auto* job = cluster_.find_job(id);
-        if (!job) co_return later;
+        if (!job) co_return not_now();
         auto job_state = job->job_state();
         if (job_state == wire::JobState::cancelled || job_state == wire::JobState::done ||
             job_state == wire::JobState::failed)
@@ -156,13 +196,90 @@
         if (!asked && !job->finished()) {
             spdlog::info("job {} is cancelled", id);
             cluster_.cancel(*job, Clock::now());
-            write_signal_.wake();
-            dispatch_pending_commands();
+            record_writer_.wake();
+            dispatcher_.dispatch_pending();
         }
         asked = true;
-        co_await net::sleep_for(10ms);
+        co_await net::sleep_for(cancellation_poll);
     }
-    co_return later;
+    co_return not_now();
+}
+
+// ---- workers -------------------------------------------------------------------------------------------
+
+// A heartbeat before the records are read is kept for then. Whether its answer may renew the worker's lease
+// is known from this node's time as a follower alone.
+Response Leader::renew_before_recovery(const wire::WorkerHeartbeat& heartbeat, TimePoint now) {
+    auto [it, fresh] = pending_heartbeats_.try_emplace(heartbeat.machine, heartbeat);
+    if (!fresh &&
+        std::pair(it->second.agent_epoch, it->second.seq) < std::pair(heartbeat.agent_epoch, heartbeat.seq))
+        it->second = heartbeat;
+    // What the predecessor has confirmed as cancelled stands in the records, and an outage that begins before
+    // they are read may last for longer than `cancel_s`.
+    if (!services_.renewer.may_renew(heartbeat.machine, now)) return not_entitled();
+    if (cell_delegations_ && !cell_delegations_->may_renew(heartbeat, nullptr)) return not_entitled();
+    renewals_before_recovery_[heartbeat.machine] = now;
+    return Response{200, wire::worker_heartbeat_answer(services_.election.fencing_token(), {})};
+}
+
+Task<Response> Leader::worker_heartbeat(wire::WorkerHeartbeat heartbeat, bool direct) {
+    auto self = shared_from_this();
+    if (!may_act()) co_return not_entitled();
+    auto now = Clock::now();
+    worker_monitor_.heartbeat_received(now, direct);
+    auto fencing_token = services_.election.fencing_token();
+    if (!recovered_) co_return renew_before_recovery(heartbeat, now);
+    cluster_.lead(fencing_token, acquired_);
+    bool newer = cluster_.on_heartbeat(heartbeat, true, now);
+    auto* m = cluster_.find_machine(heartbeat.machine);
+    if (!m) co_return not_entitled();
+    if (!newer && heartbeat.agent_epoch != m->agent_epoch) co_return not_entitled();
+    if (cell_delegations_ && !cell_delegations_->may_renew(heartbeat, m)) co_return not_entitled();
+    if (!m->may_renew(now, renewal_period_)) co_return not_entitled();
+    // Not newer, but of this agent epoch: an answer to a push has overtaken it. The worker still waits for
+    // this one.
+    auto commands = cluster_.reply_commands(*m, now, newer && !m->returning);
+    if (commands.size() > max_commands_per_answer) commands.resize(max_commands_per_answer);
+    m->last_answer = now;
+    placement_signal_.wake();
+    wake_writes_if_any();
+    dispatcher_.dispatch_pending();
+    co_return Response{200, wire::worker_heartbeat_answer(fencing_token, commands)};
+}
+
+void Leader::lease_renewed(const std::string& machine, TimePoint when) {
+    if (!recovered_)
+        renewals_before_recovery_[machine] = when;
+    else if (auto* m = cluster_.find_machine(machine))
+        m->last_answer = std::max(m->last_answer, when);
+}
+
+// ---- operators' requests -------------------------------------------------------------------------------
+
+Response Leader::quota_page(std::uint64_t since, std::uint64_t page) const {
+    if (!recovered_) return not_now();
+    return quotas_.page(since, page);
+}
+
+Task<Response> Leader::change_quotas(Json body) {
+    auto self = shared_from_this();
+    if (!services_.settings.placement.quotas)
+        co_return error_response(409, "quotas are not switched on: see deploy/quotas.json");
+    if (!recovered_) co_return not_now();
+    co_return co_await quotas_.change(std::move(body));
+}
+
+std::optional<Json> Leader::explain(const std::string& id) const {
+    if (!recovered_) return std::nullopt;
+    auto it = cluster_.jobs().find(id);
+    if (it == cluster_.jobs().end()) return std::nullopt;
+    const auto& job = *it->second;
+    return Json{{"name_id", id},
+                {"standing", wire::job_state_name(job.job_state())},
+                {"waiting", job.waiting.size()},
+                {"running", job.running()},
+                {"quota", cluster_.ledger().tree().node(job.account).path},
+                {"why", cluster_.explain(job, Clock::now())}};
 }
 
 // ---- duties --------------------------------------------------------------------------------------------
@@ -177,156 +294,39 @@
         if (Clock::now() - acquired_ < 150ms) co_await net::sleep_for(100ms);
         if (cell_delegations_) cell_delegations_->stop_before_deadlines();
         cluster_.schedule_round(Clock::now());
-        if (cluster_.has_writes()) write_signal_.wake();
-        dispatch_pending_commands();
+        wake_writes_if_any();
+        dispatcher_.dispatch_pending();
         // What comes in close together is placed in one round, and written in one transaction.
         co_await net::sleep_for(8ms);
     }
 }
 
-Task<> Leader::write_loop() {
-    const auto ops = std::max<std::size_t>(4, services_.settings.placement.txn_ops);
-    TimePoint last_lazy{};
-    for (;;) {
-        if (!cluster_.has_writes()) co_await write_signal_.wait(1s);
-        if (!cluster_.has_writes()) continue;
-        // Starts go at once. What running jobs have done is written a few times a second, and takes a quarter
-        // of the state service's rate at most: with many jobs it once filled every transaction, and starts
-        // waited.
-        auto progress_due = [&] {
-            auto spread = secs(static_cast<double>(cluster_.changes()) /
-                               std::max(1.0, 0.25 * services_.settings.state_writes_per_s));
-            return Clock::now() - last_lazy >= std::max<Clock::duration>(250ms, spread);
-        };
-        if (!cluster_.has_urgent_writes() && !progress_due()) {
-            co_await write_signal_.wait(60ms);
-            if (!cluster_.has_urgent_writes() && !progress_due()) continue;
-        }
-        if (!may_act()) {
-            co_await net::sleep_for(100ms);
-            continue;
-        }
-        const bool progress = progress_due();
-        if (progress) last_lazy = Clock::now();
-        auto writes = cluster_.take_writes(ops, 48 * 1024, Clock::now(), wall_ms(), progress);
-        if (writes.empty()) continue;
-        std::vector<state::Operation> operations;
-        for (auto& w : writes) operations.push_back({w.key, w.value, 0});
-        std::vector<state::Precondition> preconditions{services_.election.fencing_precondition()};
-        auto result =
-            co_await services_.state.compare_and_swap(std::move(preconditions), std::move(operations));
-        if (result.outcome == Outcome::ok) {
-            for (auto& w : writes)
-                if (w.durable) w.durable();
-            placement_signal_.wake();
-            dispatch_pending_commands();
-            continue;
-        }
-        cluster_.write_failed(std::move(writes), result.outcome == Outcome::unknown);
-        if (result.outcome == Outcome::conflict) {
-            services_.election.suspect_lost_leadership();
-            co_await net::sleep_for(50ms);
-        } else if (result.outcome == Outcome::refused) {
-            co_await net::sleep_for(100ms);
-        } else {
-            // It may still be applied later, over newer values: a new token makes sure that it can't.
-            spdlog::info("a transaction got no answer: the token is renewed before the next");
-            while (!co_await services_.election.refresh_fencing_token()) co_await net::sleep_for(200ms);
-            cluster_.lead(services_.election.fencing_token(), acquired_);
-        }
-    }
-}
-
 Task<> Leader::refresh_fencing_token() {
+    InFlight refreshing(refreshing_fencing_token_);
     if (co_await services_.election.refresh_fencing_token()) {
         cluster_.lead(services_.election.fencing_token(), acquired_);
-        for (auto& [name, m] : cluster_.machines()) {
-            bool late = false;
-            for (auto& [a, e] : m->assignments) late |= e.launch_unanswered;
-            if (late && !m->address.empty()) spawn("fence " + name, dispatch(name, true));
+        for (auto& [name, machine] : cluster_.machines()) {
+            bool unanswered = false;
+            for (auto& [attempt, assignment] : machine->assignments)
+                unanswered |= assignment.launch_unanswered;
+            if (unanswered && !machine->address.empty()) dispatcher_.fence(name);
         }
     }
-    co_await net::sleep_for(4s);
-    refreshing_fencing_token_ = false;
+    co_await net::sleep_for(token_refresh_interval);
 }
 
 Task<> Leader::tick_loop() {
     for (;;) {
-        auto due = Clock::now() + 200ms;
-        co_await net::sleep_for(200ms);
-        auto now = Clock::now();
-        if (now - due > 250ms) {
-            // What came in meanwhile stands in its sockets: it is read in about the time that was lost.
-            auto until = now + 500ms + 2 * (now - due);
-            if (lagging_until_ < now)
-                spdlog::info(
-                    "this process is {:.1f} s behind: silence of machines counts for nothing for a while",
-                    Seconds(now - due).count());
-            lagging_until_ = std::max(lagging_until_, until);
-            failure_detector_.suspend_until(lagging_until_);
-        }
+        const auto due = Clock::now() + tick_interval;
+        co_await net::sleep_for(tick_interval);
+        const auto now = Clock::now();
+        worker_monitor_.note_delay(due, now);
         if (!may_act()) continue;
         cluster_.lead(services_.election.fencing_token(), acquired_);
         const bool moved = cluster_.tick(
             now, [&](const std::string& zone) { return renewal_bound_.latest_renewal(zone, now); });
-        const auto& rules = services_.settings.placement;
-        int asked = 0;
-        bool any_up = false;
-        std::size_t up = 0;
-        for (auto& [name, m] : cluster_.machines()) {
-            cluster_.note_command(name);
-            up += m->up;
-            any_up |= m->up || !m->assignments.empty();
-            if (!m->up && !m->address.empty() && now - m->probed > 2s && m->assignments.size() > 0) {
-                if (++asked > max_concurrent_probes) continue;
-                m->probed = now;
-                spawn("fence " + name, dispatch(name, true));
-            } else if (m->up && !m->push_reachable && !m->probing && now - m->probed > 3s) {
-                if (++asked > max_concurrent_probes) continue;
-                m->probed = now;
-                start_probe(*m);
-            }
-        }
-        auto verdict = failure_detector_.evaluate(
-            cluster_.machines(), now, acquired_, [this](auto& m) { return cluster_.runs_service(m); },
-            now - services_.state.last_response() <= 1500ms);
-        for (auto* m : verdict.probe) start_probe(*m);
-        if (!verdict.declare_failed.empty()) {
-            std::vector<std::string> gone;
-            for (auto* m : verdict.declare_failed) {
-                spdlog::warn("machine {} stays silent: it is returned, to prove it empty", m->name);
-                m->returning = true;
-                failure_detector_.note_declared_failed(now);
-                gone.push_back(m->name);
-            }
-            spawn("return", deprovision(std::move(gone), true));
-        }
-        // A leader that no worker reaches is of no use, whatever the state service says.
-        // Nor one that workers reach only by way of others: it can send them nothing, and they it late.
-        if (reachability_.cut_off(now, up) && now >= lagging_until_ && now - acquired_ > 8s &&
-            services_.state.responsive(now)) {
-            // Their heartbeats may come by way of others for another reason: whether the ways are open is
-            // asked, and any answer counts as contact.
-            if (now - reachability_probed_ > 5s) {
-                reachability_probed_ = now;
-                int few = 8;
-                for (auto& [name, m] : cluster_.machines()) {
-                    if (!m->up || m->probing || m->address.empty()) continue;
-                    if (few-- == 0) break;
-                    start_probe(*m);
-                }
-            } else if (now - reachability_probed_ > 1500ms) {
-                spdlog::warn(
-                    "no worker reaches this leader or answers it, but others forward their heartbeats");
-                services_.election.step_down(15s);
-                co_return;
-            }
-        }
-        if (any_up && now - last_worker_heartbeat_ > secs(std::max(4.0, 2 * rules.heartbeat_s + 2)) &&
-            now - acquired_ > 8s && services_.state.responsive(now)) {
-            spdlog::warn("no worker has reached this leader for {:.1f} s",
-                         Seconds(now - last_worker_heartbeat_).count());
-            services_.election.step_down(15s);
+        if (worker_monitor_.check(now) == WorkerMonitor::Contact::lost) {
+            services_.election.step_down(step_down_pause);
             co_return;
         }
         if (cluster_.has_unanswered_launch(now) && !refreshing_fencing_token_ &&
@@ -334,13 +334,13 @@
             refreshing_fencing_token_ = true;
             spawn("renew token", refresh_fencing_token());
         }
-        if (now - starvation_checked_ > 5s) {
+        if (now - starvation_checked_ > starvation_check_interval) {
             starvation_checked_ = now;
             log_starvation(now);
         }
         if (moved) placement_signal_.wake();
-        if (cluster_.has_writes()) write_signal_.wake();
-        dispatch_pending_commands();
+        wake_writes_if_any();
+        dispatcher_.dispatch_pending();
     }
 }
 
--- a/src/api/leader.hpp
+++ b/src/api/leader.hpp
@@ -4,16 +4,13 @@
 #include <memory>
 
 #include "api/cell_delegations.hpp"
+#include "api/command_dispatcher.hpp"
+#include "api/provisioner.hpp"
 #include "api/quota_service.hpp"
-#include "autoscaler/autoscaler.hpp"
-#include "election/election.hpp"
-#include "fleet/cloud_client.hpp"
-#include "fleet/failure_detector.hpp"
-#include "fleet/reachability.hpp"
-#include "leases/leases.hpp"
-#include "net/http_server.hpp"
+#include "api/record_writer.hpp"
+#include "api/services.hpp"
+#include "api/worker_monitor.hpp"
 #include "placement/cluster.hpp"
-#include "settings/settings.hpp"
 
 namespace barrowrun::api {
 
@@ -21,23 +18,9 @@
 using net::Task;
 using wire::Json;
 
-// What every part of a node shares.
-struct Services {
-    net::asio::io_context& io;
-    const settings::Settings& settings;
-    state::StateClient& state;
-    fleet::CloudClient& cloud;
-    net::HttpClient& workers;
-    net::HttpClient& peers;
-    election::Election& election;
-    std::vector<wire::MachineType>& catalog;  // machine types as last known
-    const leases::LeaseRenewer& renewer;      // what this node knows of cancelled jobs without the records
-};
-
-// Questions to machines beside their heartbeats, at once: a share of what a process with a fraction of a core
-// can do.
-inline constexpr int max_concurrent_probes = 16;
-
+// Coordinates what belongs to one term: the cluster's decisions, the records, workers, machines and quotas,
+// each with an owner of its own. The node drops it when the term ends; coroutines that are still suspended
+// keep it alive until then, and look at `may_act` before every act or answer that only a leader may give.
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     Leader(Services services, std::uint64_t fencing_token, TimePoint acquired);
@@ -75,55 +58,53 @@
     const quota::Tree& quota_tree() const { return cluster_.ledger().tree(); }
 
   private:
+    // Reads the records, then starts the term's loops. Until it is done nobody else looks at the cluster.
     Task<> recover();
-    Task<> recover_quotas();
-    void apply_quotas(quota::VersionedQuotas book, quota::TreePtr tree);
+    Task<state::Snapshot> read_snapshot();
+    Task<> recover_catalog();
+    Task<std::size_t> recover_jobs(const state::Snapshot& records, TimePoint now, std::int64_t wall,
+                                   net::Slices& slices);
+    Task<> recover_machines(const state::Listing& shards, std::int64_t wall, net::Slices& slices);
+    void recover_provisioning_requests(const state::Listing& requests);
+    Task<> apply_pending_heartbeats(TimePoint now, net::Slices& slices);
+    void fence_known_workers(TimePoint now);
+    void start_loops();
+    Response renew_before_recovery(const wire::WorkerHeartbeat& heartbeat, TimePoint now);
+    // Puts a job that this term does not know into its memory, from the records. A response: that can't be.
+    Task<std::optional<Response>> load_unknown_job(std::string id);
     Task<> placement_loop();
-    Task<> write_loop();
     Task<> tick_loop();
     Task<> watch_jobs();
-    Task<> refresh_machine_types();
-    Task<> reconcile_cloud_machines();
-    Task<> scaling_loop();
-    Task<> provision(std::string request, state::ProvisioningRecord record,
-                     bool asked);  // asked: it may have been sent before
-    Task<> deprovision(std::vector<std::string> names, bool proof);
-    Task<> dispatch(std::string machine, bool fence);
-    Task<> probe(std::string machine);
-    void start_probe(fleet::Machine& m) {  // unless a question to it is open
-        m.probing = true;
-        spawn("probe " + m.name, probe(m.name));
-    }
-    Task<> fence_known_workers(std::shared_ptr<std::deque<std::string>> names);
     Task<> refresh_fencing_token();
     void log_starvation(TimePoint now);
     void spawn(std::string name, Task<> duty) {
         duties_.spawn(std::move(name), shared_from_this(), std::move(duty));
     }
-    void dispatch_pending_commands();
+    void wake_writes_if_any() {
+        if (cluster_.has_writes()) record_writer_.wake();
+    }
     void add_job(const state::JobRecord& record);
 
     Services services_;
     placement::Cluster cluster_;
-    autoscaler::Autoscaler autoscaler_;
     net::Duties duties_;
-    net::Signal placement_signal_, write_signal_;
+    net::Signal placement_signal_;
     TimePoint acquired_;
     bool recovered_ = false, stopped_ = false, refreshing_fencing_token_ = false;
-    quota::VersionedQuotas quotas_;
-    bool changing_quotas_ = false;
-    std::uint64_t watch_revision_ = 0, requests_made_ = 0;
-    std::map<std::string, wire::WorkerHeartbeat>
-        pending_heartbeats_;                                     // heartbeats before the records were read
-    std::map<std::string, TimePoint> renewals_before_recovery_;  // leases renewed by then
-    std::map<std::string, state::ProvisioningRecord> open_requests_;
-    TimePoint last_worker_heartbeat_{}, starvation_checked_{}, reachability_probed_{};
-    fleet::FailureDetector failure_detector_;
-    fleet::LeaderReachability reachability_;
+    RecordWriter record_writer_;
+    CommandDispatcher dispatcher_;
+    Provisioner provisioner_;
+    QuotaService quotas_;
+    WorkerMonitor worker_monitor_;
+    std::uint64_t watch_revision_ = 0;  // of the records that were read: the watch goes on from there
+    // Of workers that reported before the records were read: their newest heartbeats, and when leases were
+    // renewed by an answer.
+    std::map<std::string, wire::WorkerHeartbeat> pending_heartbeats_;
+    std::map<std::string, TimePoint> renewals_before_recovery_;
+    TimePoint starvation_checked_{};
     const Clock::duration renewal_period_;  // leases::renewal_period
     leases::RenewalBound renewal_bound_;
     std::unique_ptr<CellDelegations> cell_delegations_;
-    TimePoint lagging_until_{};  // as it was last said
 };
 
 }  // namespace barrowrun::api
--- a/src/api/node.hpp
+++ b/src/api/node.hpp
@@ -14,6 +14,16 @@
   private:
     Task<Response> public_route(net::Request request);
     Task<Response> peer_route(net::Request request);
+    // Requests of other nodes, by path. `body` and `part` belong to `peer_route`, which awaits the answer.
+    Response answer_ping(const Json& body);
+    Task<Response> delegation_from_cell(const Json& part, bool offer);
+    Task<Response> lease_vote(const Json& body);
+    Task<Response> worker_heartbeat_from_peer(const Json& body);
+    Response job_status_for_peer(const Json& body);
+    Task<Response> cancel_for_peer(const Json& body);
+    Task<Response> job_accepted_by_peer(const Json& body);
+    Task<Response> quota_request_from_peer(const Json& body);
+    Task<Response> submission_from_peer(const Json& body);
     Task<Response> submit(std::string body);
     Task<Response> submit_job(wire::JobSpec spec, bool from_peer);
     // Why a submission isn't accepted.
--- /dev/null
+++ b/src/api/record_writer.cpp
@@ -0,0 +1,80 @@
+#include "api/record_writer.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include "api/transaction_limits.hpp"
+
+namespace barrowrun::api {
+using net::Task;
+using state::Outcome;
+using namespace std::chrono_literals;
+
+namespace {
+// Starts go at once. What running jobs have done is written a few times a second, and takes a quarter of the
+// state service's rate at most: with many jobs it once filled every transaction, and starts waited.
+constexpr std::chrono::milliseconds min_progress_interval{250};
+constexpr double progress_share_of_rate = 0.25;
+// How long to sleep where nothing wakes it, or nothing can be written now.
+constexpr std::chrono::milliseconds idle_wait{1000}, progress_wait{60}, not_leading_pause{100};
+constexpr std::chrono::milliseconds conflict_pause{50}, refused_pause{100}, token_refresh_pause{200};
+}  // namespace
+
+bool RecordWriter::progress_due() const {
+    const auto rate = std::max(1.0, progress_share_of_rate * services_.settings.state_writes_per_s);
+    const auto spread = secs(static_cast<double>(host_.cluster.changes()) / rate);
+    return Clock::now() - progress_written_ >= std::max<Clock::duration>(min_progress_interval, spread);
+}
+
+Task<> RecordWriter::run() {
+    auto& cluster = host_.cluster;
+    const auto max_operations = max_transaction_operations(services_.settings.placement);
+    for (;;) {
+        if (!cluster.has_writes()) co_await signal_.wait(idle_wait);
+        if (!cluster.has_writes()) continue;
+        if (!cluster.has_urgent_writes() && !progress_due()) {
+            co_await signal_.wait(progress_wait);
+            if (!cluster.has_urgent_writes() && !progress_due()) continue;
+        }
+        if (!host_.may_act()) {
+            co_await net::sleep_for(not_leading_pause);
+            continue;
+        }
+        const bool progress = progress_due();
+        if (progress) progress_written_ = Clock::now();
+        auto writes =
+            cluster.take_writes(max_operations, max_transaction_bytes, Clock::now(), wall_ms(), progress);
+        if (!writes.empty()) co_await write(std::move(writes));
+    }
+}
+
+Task<> RecordWriter::write(std::vector<placement::Write> writes) {
+    std::vector<state::Operation> operations;
+    for (auto& write : writes) operations.push_back({write.key, write.value, 0});
+    std::vector<state::Precondition> preconditions{services_.election.fencing_precondition()};
+    auto result = co_await services_.state.compare_and_swap(std::move(preconditions), std::move(operations));
+    if (result.outcome == Outcome::ok) {
+        for (auto& write : writes)
+            if (write.durable) write.durable();
+        host_.on_write();
+        co_return;
+    }
+    host_.cluster.write_failed(std::move(writes), result.outcome == Outcome::unknown);
+    co_await handle_failure(result.outcome);
+}
+
+Task<> RecordWriter::handle_failure(Outcome outcome) {
+    if (outcome == Outcome::conflict) {
+        services_.election.suspect_lost_leadership();
+        co_await net::sleep_for(conflict_pause);
+    } else if (outcome == Outcome::refused) {
+        co_await net::sleep_for(refused_pause);
+    } else {
+        // It may still be applied later, over newer values: a new token makes sure that it can't.
+        spdlog::info("a transaction got no answer: the token is renewed before the next");
+        while (!co_await services_.election.refresh_fencing_token())
+            co_await net::sleep_for(token_refresh_pause);
+        host_.cluster.lead(services_.election.fencing_token(), host_.acquired);
+    }
+}
+
+}  // namespace barrowrun::api
