--- a/tests/guarantees_test.cpp
+++ b/tests/guarantees_test.cpp
@@ -95,7 +95,7 @@
 TEST(Guarantees, ABurstOfASiblingDoesNotKeepAnotherBelowItsGuarantee) {
     placement::Config rules;
     rules.teams["crew"] = {};
-    rules.quotas = lines(R"({"name":"bureau","limit":{"cpus":8},"guarantee":{"cpus":8}},
+    rules.quotas = quota_entries(R"({"name":"bureau","limit":{"cpus":8},"guarantee":{"cpus":8}},
         {"name":"crew","in":"bureau","team":"crew","guarantee":{"cpus":8}},
         {"name":"slips","in":"crew","guarantee":{"cpus":3}},{"name":"rebuild","in":"crew"})");
     QuotaFleet f(rules);
