--- a/src/autoscaler/autoscaler.hpp
+++ b/src/autoscaler/autoscaler.hpp
@@ -1,59 +1,44 @@
 #pragma once
-// How many machines to rent, of which sort, and which to give back.
-#include <deque>
-#include <map>
+// How many machines there should be: which to provision, and which to return. Decisions only: no I/O, no
+// clock of its own.
+//
+// A plan packs all waiting work, and headroom for work that may come soon, into the machines there are
+// (Supply, ScaleOutPlanner); what finds no room is ordered, and machines that nothing was packed into are
+// returned (scale_in).
 #include <string>
 #include <vector>
 
+#include "autoscaler/demand.hpp"
+#include "autoscaler/offers.hpp"
 #include "placement/cluster.hpp"
 
 namespace barrowrun::autoscaler {
 
-struct Offer {
-    std::string type, zone;
-    bool spot = false;
-    auto operator<=>(const Offer&) const = default;
-};
-
-struct MachineOrder {
-    Offer offer;
-    int count = 0;
-};
-
+/// What to do now.
 struct ScalingPlan {
     std::vector<MachineOrder> scale_out;
-    std::vector<std::string> scale_in;
-    std::string drain;  // a machine whose replicas have room elsewhere
+    std::vector<std::string> scale_in;  // machines to return
+    std::string drain;                  // a machine whose replicas have room elsewhere; empty: none
 };
 
+/// Owns what a plan must remember: which offers were refused, and recent demand. One for each term of a
+/// leader.
 class Autoscaler {
   public:
-    // A refusal for lack of capacity keeps the offer off the list for a while.
-    void refused(const Offer& offer, TimePoint now);
-    void granted(const Offer& offer);
-    bool refuses(const Offer& offer, TimePoint now) const;
-    // `coming`: machines asked for whose requests are not answered yet.
+    /// The cloud's answer to an order. A refusal keeps the offer from being asked for, for a while.
+    void refused(const Offer& offer, TimePoint now) { backoff_.on_refused(offer, now); }
+    void granted(const Offer& offer) { backoff_.on_granted(offer); }
+    bool refuses(const Offer& offer, TimePoint now) const { return backoff_.is_backing_off(offer, now); }
+
+    /// `pending`: orders that the cloud has not answered yet.
     ScalingPlan plan(const placement::Cluster& cluster, TimePoint now,
                      const std::vector<MachineOrder>& pending = {});
-    void note_arrival(const wire::JobSpec& spec, TimePoint now);
+    /// A job was accepted.
+    void note_arrival(const wire::JobSpec& spec, TimePoint now) { demand_.note_arrival(spec, now); }
 
   private:
-    // How many tasks an array class that can't wait for boots held at once, lately.
-    struct Demand {
-        wire::JobSpec like;                                     // what its jobs need, on average
-        std::deque<std::pair<TimePoint, std::uint32_t>> peaks;  // falling
-        std::uint32_t now = 0;
-    };
-    void note_demand(const placement::Cluster& cluster, TimePoint now);
-    std::string machine_to_drain(const placement::Cluster& cluster, TimePoint now,
-                                 std::uint32_t keep_free) const;
-    struct Refusal {
-        TimePoint until{};
-        int row = 0;
-    };
-    std::map<Offer, Refusal> refusals_;
-    std::map<std::string, Demand> demand_;
-    std::deque<std::pair<TimePoint, std::uint32_t>> service_arrivals_;  // tasks of services, lately
+    OfferBackoff backoff_;
+    DemandHistory demand_;
 };
 
 }  // namespace barrowrun::autoscaler
--- /dev/null
+++ b/src/autoscaler/scale_out.cpp
@@ -0,0 +1,241 @@
+#include "autoscaler/scale_out.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <tuple>
+
+namespace barrowrun::autoscaler {
+using placement::Cluster;
+using placement::Job;
+using wire::JobKind;
+
+namespace {
+constexpr int max_machines_per_request = 50;  // the cloud's bound
+// A job that fails this often in a row gets no machines of its own.
+constexpr int max_errors_in_row = 4;
+// Larger machines serve others, too: part of the capacity that the job leaves unused counts as useful.
+constexpr double weight_of_used = 0.6, weight_of_whole = 0.4;
+// What the fleet will have done is relied on for this share, and only if the time left is this many times
+// what a boot and a run take: a later decision would leave no time for them.
+constexpr double relied_on_supply = 0.8, least_boot_and_run = 1.8;
+// Small slots leave no room for a large task: this share of its CPUs is the least.
+constexpr double least_slot = 0.8;
+// Bins hold a whole number of tasks, up to rounding.
+constexpr double rounding = 1e-6;
+
+// How many tasks a whole machine of the type holds; not less than one, as the type fits.
+double tasks_per_machine(const wire::Resources& need, const wire::MachineType& type) {
+    double tasks = 1e9;
+    if (need.cpus > 0) tasks = std::min(tasks, std::floor(type.cpus / need.cpus + rounding));
+    if (need.gpus > 0) tasks = std::min(tasks, std::floor(type.gpus / need.gpus + rounding));
+    if (need.mem_gb > 0) tasks = std::min(tasks, std::floor(type.mem_gb / need.mem_gb + rounding));
+    return tasks;
+}
+
+// Price per task, of which `missing` are wanted.
+double cost_per_task(const wire::Resources& need, const wire::MachineType& type, bool spot,
+                     std::uint32_t missing) {
+    const double whole = tasks_per_machine(need, type);
+    const double used = std::max(1.0, std::min(whole, static_cast<double>(missing)));
+    return (spot ? type.spot_price : type.price) / (weight_of_used * used + weight_of_whole * whole);
+}
+}  // namespace
+
+ScaleOutPlanner::ScaleOutPlanner(const Cluster& cluster, TimePoint now, const OfferBackoff& backoff,
+                                 const std::vector<MachineOrder>& pending, Supply& supply)
+    : cluster_(cluster), now_(now), backoff_(backoff), pending_(pending), supply_(supply) {
+    if (cluster.ledger().tree().has_limits()) planned_usage_ = cluster.ledger();
+}
+
+void ScaleOutPlanner::cover_queue() {
+    for (int level = 0; level < wire::priority_levels; ++level)
+        for (auto& position : cluster_.queue().level(level)) {
+            auto it = cluster_.jobs().find(position.id);
+            if (it == cluster_.jobs().end()) continue;
+            const Job& job = *it->second;
+            if (job.cancelled || job.errors_in_row > max_errors_in_row) continue;
+            std::uint32_t tasks = within_limits(job, job.waiting.size());
+            if (job.spec.kind == JobKind::array) tasks = array_tasks_to_cover(job, tasks);
+            cover(&job, job.spec, tasks, preemptible_use(job));
+        }
+}
+
+void ScaleOutPlanner::cover_headroom(const Headroom& headroom, PreemptibleUse use) {
+    cover(nullptr, headroom.like, headroom.tasks, use);
+}
+
+// A request names up to 50 machines and the cloud takes few requests a second: the largest go first, and what
+// the rate will not take soon is left to a later plan.
+std::vector<MachineOrder> ScaleOutPlanner::orders() const {
+    std::vector<MachineOrder> out;
+    for (auto& [offer, count] : orders_)
+        for (int left = count; left > 0; left -= max_machines_per_request)
+            out.push_back({offer, std::min(left, max_machines_per_request)});
+    std::stable_sort(out.begin(), out.end(), [](auto& x, auto& y) { return x.count > y.count; });
+    return out;
+}
+
+// What a quota keeps from starting needs no machine.
+std::uint32_t ScaleOutPlanner::within_limits(const Job& job, std::uint32_t tasks) {
+    if (!planned_usage_ || tasks == 0) return tasks;
+    auto admitted = planned_usage_->admissible_tasks(job.account, job.spec.need, tasks);
+    if (job.spec.kind == JobKind::gang && admitted < tasks) return 0;
+    for (std::uint32_t i = 0; i < admitted; ++i) planned_usage_->charge(job.account, job.spec.need);
+    return admitted;
+}
+
+// Of the waiting tasks of an array, those that need a machine: tasks may run one after the other on the same
+// slot, and what the fleet will have done in time anyway needs no scale out.
+std::uint32_t ScaleOutPlanner::array_tasks_to_cover(const Job& job, std::uint32_t tasks) {
+    ArrayEstimate estimate;
+    estimate.run_s = job.estimated_run_s() + 1;
+    estimate.slack_s = cluster_.objective_slack_s(job, now_);
+    estimate.finish_s = std::max(estimate.run_s, estimate.slack_s) + estimate.run_s;
+    estimate.work_cpu_s = static_cast<double>(tasks) * estimate.run_s * job.spec.need.cpus;
+    tasks = missing_slots(job, tasks, estimate);
+    if (supply_suffices(job, estimate)) tasks = 0;
+    queued_work_.push_back({job.spec.spot_ok, estimate.work_cpu_s});
+    return take_freed_slots(job, tasks, estimate);
+}
+
+std::uint32_t ScaleOutPlanner::missing_slots(const Job& job, std::uint32_t tasks,
+                                             const ArrayEstimate& estimate) const {
+    const auto running = static_cast<std::uint32_t>(job.placements.size());
+    const double total = static_cast<double>(tasks) + static_cast<double>(job.placements.size());
+    // No slot serves two tasks where all should start before the first could have ended.
+    const double wanted =
+        cannot_wait_for_boots(cluster_, job.spec) ? total : total * estimate.run_s / estimate.finish_s;
+    const auto slots = static_cast<std::uint32_t>(std::ceil(wanted));
+    return std::min(tasks, slots > running ? slots - running : 0);
+}
+
+// Whether the fleet as it is will have done the work in time, with all that comes first. Not relied on when
+// time runs short: work is lumpy, and low levels wait for all others.
+bool ScaleOutPlanner::supply_suffices(const Job& job, const ArrayEstimate& estimate) const {
+    const double elapsed_s = Seconds(now_ - job.accepted).count();
+    if (job.spec.need.cpus <= 0 || estimate.slack_s <= elapsed_s) return false;
+    if (estimate.finish_s <= least_boot_and_run * (cluster_.usual_boot_s() + estimate.run_s)) return false;
+    double supply_cpu_s = 0, before_cpu_s = 0;
+    for (auto& bin : supply_.bins()) {
+        if (!supply_.suits(job.spec, supply_.offer_of(bin))) continue;
+        double time_s = estimate.finish_s - bin.ready_in_s;
+        // On a machine that is still to come only whole tasks count, after the fetch of the image.
+        if (bin.ready_in_s > 0)
+            time_s = estimate.run_s *
+                     std::floor((time_s - job.spec.image_gb / bin.fetch_gb_per_s) / estimate.run_s);
+        supply_cpu_s += bin.array_cpus * std::max(0.0, time_s);
+        before_cpu_s += bin.committed_cpu_s;
+    }
+    for (auto& work : queued_work_)
+        if (job.spec.spot_ok || !work.spot_ok) before_cpu_s += work.cpu_s;
+    return relied_on_supply * supply_cpu_s >= before_cpu_s + estimate.work_cpu_s;
+}
+
+// What will find a slot before a new machine could be up, in the order of the queue, needs none. A job that
+// is late already shows a backlog, which only more machines take away.
+std::uint32_t ScaleOutPlanner::take_freed_slots(const Job& job, std::uint32_t tasks,
+                                                const ArrayEstimate& estimate) {
+    const double need = job.spec.need.cpus;
+    if (estimate.slack_s <= 0 || need <= 0) return tasks;
+    for (auto& [slot, cpus] : supply_.freed_cpus()) {
+        if (tasks == 0) break;
+        if ((slot.spot && !job.spec.spot_ok) || slot.cpus < least_slot * need) continue;
+        auto taken = std::min<std::uint32_t>(tasks, static_cast<std::uint32_t>(cpus / need));
+        tasks -= taken;
+        cpus -= taken * need;
+    }
+    return tasks;
+}
+
+PreemptibleUse ScaleOutPlanner::preemptible_use(const Job& job) const {
+    if (job.spec.priority == wire::Priority::production) return PreemptibleUse::all;
+    if (job.spec.priority == wire::Priority::normal && cluster_.may_preempt(job, now_))
+        return PreemptibleUse::checkpointing;
+    return PreemptibleUse::none;
+}
+
+// Puts tasks of one shape into bins, and orders the machines that are missing. A bin that takes a task only
+// becomes the better choice for the next one, so each is filled in turn: one look at every bin for a job, not
+// one for each of its tasks.
+void ScaleOutPlanner::cover(const Job* job, const wire::JobSpec& spec, std::uint32_t tasks,
+                            PreemptibleUse use) {
+    Packing packing{spec, use, Cluster::ZoneConstraint(cluster_, spec, job), tasks};
+    find_suitable_offers(spec);
+    rank_fitting_bins(packing);
+    for (auto i : fitting_bins_) {
+        if (packing.missing == 0) return;
+        fill(supply_.bins()[i], packing);
+    }
+    order_machines(packing);
+}
+
+void ScaleOutPlanner::find_suitable_offers(const wire::JobSpec& spec) {
+    const auto& offers = supply_.offers();
+    suitable_offers_.resize(offers.size());
+    for (std::size_t i = 0; i < offers.size(); ++i) suitable_offers_[i] = supply_.suits(spec, offers[i]);
+}
+
+// Machines in use first, then spot instances where they will do, then the fullest, then those that have
+// fetched more images.
+void ScaleOutPlanner::rank_fitting_bins(const Packing& packing) {
+    const auto& bins = supply_.bins();
+    fitting_bins_.clear();
+    for (std::size_t i = 0; i < bins.size(); ++i)
+        if (suitable_offers_[bins[i].offer] && packing.spec.need.fits(bins[i].available_with(packing.use)))
+            fitting_bins_.push_back(i);
+    auto rank = [&](std::size_t i) {
+        const MachineBin& bin = bins[i];
+        return std::tuple(!bin.used, packing.spec.spot_ok && !supply_.offer_of(bin).spot, bin.available.cpus,
+                          ~bin.cached_images, i);
+    };
+    std::sort(fitting_bins_.begin(), fitting_bins_.end(),
+              [&](std::size_t x, std::size_t y) { return rank(x) < rank(y); });
+}
+
+void ScaleOutPlanner::fill(MachineBin& bin, Packing& packing) const {
+    const wire::Resources& need = packing.spec.need;
+    const std::string& zone = supply_.offer_of(bin).zone;
+    while (packing.missing > 0 && need.fits(bin.available_with(packing.use)) && packing.zones.allows(zone)) {
+        bin.available -= need;
+        bin.used = true;
+        packing.zones.add(zone);
+        --packing.missing;
+    }
+}
+
+void ScaleOutPlanner::order_machines(Packing& packing) {
+    while (packing.missing > 0) {
+        auto offer = cheapest_offer(packing);
+        if (!offer) return;
+        fill(supply_.add_bin(*offer), packing);
+        ++orders_[supply_.offers()[*offer]];
+    }
+}
+
+std::optional<std::size_t> ScaleOutPlanner::cheapest_offer(const Packing& packing) const {
+    const auto& offers = supply_.offers();
+    std::optional<std::size_t> cheapest;
+    double lowest_cost = 0;
+    for (std::size_t i = 0; i < offers.size(); ++i) {
+        if (!suitable_offers_[i] || !packing.zones.allows(offers[i].zone)) continue;
+        const auto& type = cluster_.types().at(offers[i].type);
+        if (!packing.spec.need.fits({type.cpus, type.gpus, type.mem_gb})) continue;
+        if (backoff_.is_backing_off(offers[i], now_)) continue;
+        // An offer that was refused last time is asked for one machine: the rest of the need must not wait
+        // for a likely refusal while other offers have capacity.
+        if (backoff_.was_refused(offers[i]) && ordered(offers[i]) > 0) continue;
+        const double cost = cost_per_task(packing.spec.need, type, offers[i].spot, packing.missing);
+        if (!cheapest || cost < lowest_cost) cheapest = i, lowest_cost = cost;
+    }
+    return cheapest;
+}
+
+int ScaleOutPlanner::ordered(const Offer& offer) const {
+    int count = 0;
+    if (auto it = orders_.find(offer); it != orders_.end()) count += it->second;
+    for (auto& order : pending_)
+        if (order.offer == offer) count += order.count;
+    return count;
+}
+
+}  // namespace barrowrun::autoscaler
