--- a/src/fleet/assignment_shards.cpp
+++ b/src/fleet/assignment_shards.cpp
@@ -5,10 +5,10 @@
 namespace barrowrun::fleet {
 
 namespace {
-// A sheet is written whole for each start on it: it is filled to a third, and has room for what its machines
+// A shard is written whole for each start on it: it is filled to a third, and has room for what its machines
 // come to hold.
 constexpr std::size_t filled_part = 3;
-// What a machine with one task takes about, until its sheet has been measured.
+// What a machine with one task takes about, until its shard has been measured.
 constexpr std::size_t usual_record = 110;
 }  // namespace
 
--- a/src/fleet/machine.cpp
+++ b/src/fleet/machine.cpp
@@ -60,22 +60,114 @@
     });
 }
 
+namespace {
+// Whether no push of the launch can be executed any more: a push without an answer may be, as long as its
+// token is the highest that the worker knows.
+bool launch_settled(const Assignment& assignment, std::uint64_t worker_token) {
+    return !assignment.in_flight &&
+           (!assignment.launch_unanswered || worker_token > assignment.sent_fencing_token);
+}
+
+// Whether the heartbeat, which doesn't list the attempt, proves that it is not on the machine and won't
+// start.
+bool proven_gone(const Assignment& assignment, const wire::WorkerHeartbeat& heartbeat,
+                 bool from_heartbeat_route, std::uint64_t own_fencing_token) {
+    switch (assignment.phase) {
+        case AssignmentPhase::recording:
+        case AssignmentPhase::ready:
+            return false;
+        case AssignmentPhase::pushed:
+            return launch_settled(assignment, heartbeat.fencing_token);
+        case AssignmentPhase::replied:
+            // The worker has one heartbeat in flight at a time: its next one shows what became of the
+            // response to the last.
+            return from_heartbeat_route && heartbeat.seq > assignment.reply_seq &&
+                   launch_settled(assignment, heartbeat.fencing_token);
+        case AssignmentPhase::recovered:
+            // Whatever the predecessor sent dies with its token, once the worker has seen ours.
+            return heartbeat.fencing_token >= own_fencing_token;
+        case AssignmentPhase::confirmed:
+            // Listed before, gone now: reaped, or ended with its agent epoch. A push that may still be on its
+            // way could start it again.
+            return launch_settled(assignment, heartbeat.fencing_token);
+    }
+    return false;
+}
+
+// Takes over what the worker says of an attempt.
+void update(Assignment& assignment, bool is_new, const wire::TaskStatus& status, TimePoint now,
+            std::vector<AssignmentChange>& changes) {
+    if (is_new) assignment.placed_at = now;
+    const bool was_exited = assignment.exited();
+    const bool was_confirmed = assignment.phase == AssignmentPhase::confirmed;
+    const bool was_running = was_confirmed && assignment.started_at != TimePoint{};
+    if (!was_confirmed) changes.push_back({AssignmentChange::confirmed, status.attempt, assignment});
+    assignment.phase = AssignmentPhase::confirmed;
+    assignment.state = status.state;
+    assignment.cause = status.cause;
+    assignment.checkpointed = status.checkpointed;
+    const bool runs = status.state == TaskState::running || status.state == TaskState::saving;
+    if (!was_running && runs) {
+        assignment.started_at = now;
+        changes.push_back({AssignmentChange::started, status.attempt, assignment});
+    }
+    if (!was_exited && status.state == TaskState::exited) {
+        assignment.ended_at = now;
+        changes.push_back({AssignmentChange::ended, status.attempt, assignment});
+    }
+}
+
+using Assignments = std::unordered_map<Attempt, Assignment, wire::AttemptHash>;
+
+// Takes out the assignments for which `is_gone` holds. Those that had not exited are lost.
+template <class Predicate>
+void remove_if(Assignments& assignments, std::vector<AssignmentChange>& changes, Predicate is_gone) {
+    std::vector<Attempt> gone;
+    for (auto& [attempt, assignment] : assignments)
+        if (is_gone(attempt, assignment)) gone.push_back(attempt);
+    for (auto& attempt : gone) {
+        auto node = assignments.extract(attempt);
+        if (!node.mapped().exited()) changes.push_back({AssignmentChange::lost, attempt, node.mapped()});
+    }
+}
+
+// Whether something of it may be on the machine, or start there.
+bool may_have_been_sent(const Assignment& assignment) {
+    return assignment.phase != AssignmentPhase::recording && assignment.phase != AssignmentPhase::ready;
+}
+
+bool kill_is_due(const Assignment& assignment, TimePoint now) {
+    if (!assignment.stop_requested || assignment.exited() || now < assignment.stop_at) return false;
+    if (!may_have_been_sent(assignment) && !assignment.launch_unanswered) return false;
+    // What is saving its progress ends by itself, within its grace.
+    const bool saving =
+        assignment.phase == AssignmentPhase::confirmed && assignment.state == TaskState::saving;
+    return !saving || assignment.grace_s <= 0;
+}
+
+bool launch_is_due(const Assignment& assignment) {
+    if (assignment.stop_requested) return false;
+    return assignment.phase == AssignmentPhase::ready ||
+           (assignment.phase == AssignmentPhase::pushed && assignment.launch_unanswered &&
+            !assignment.in_flight);
+}
+
+// Kills free the capacity that launches need.
+int order_of(wire::Verb verb) {
+    return verb == wire::Verb::kill ? 0 : verb == wire::Verb::reap ? 1 : 2;
+}
+}  // namespace
+
 bool Machine::apply_heartbeat(const wire::WorkerHeartbeat& heartbeat, bool from_heartbeat_route,
                               std::uint64_t own_fencing_token, TimePoint now,
                               std::vector<AssignmentChange>& changes) {
     if (up && std::pair(heartbeat.agent_epoch, heartbeat.seq) <= std::pair(agent_epoch, seq)) return false;
-    // A higher agent epoch proves that all of the earlier one is gone, launches under way included: they name
-    // the old agent epoch. Until our first heartbeat from it we know no agent epoch, so assignments stay to
-    // be judged below.
     if (up && heartbeat.agent_epoch > agent_epoch) {
-        std::vector<wire::Attempt> gone;
-        for (auto& [a, e] : assignments)
-            if (!(e.phase == AssignmentPhase::recording || e.phase == AssignmentPhase::ready))
-                gone.push_back(a);
-        for (auto& a : gone) {
-            auto node = assignments.extract(a);
-            if (!node.mapped().exited()) changes.push_back({AssignmentChange::lost, a, node.mapped()});
-        }
+        // A higher agent epoch proves that all of the earlier one is gone, launches under way included: they
+        // name the old agent epoch. Until our first heartbeat from it we know no agent epoch, so assignments
+        // stay to be judged below.
+        remove_if(assignments, changes,
+                  [](auto&, auto& assignment) { return may_have_been_sent(assignment); });
         images.clear();
         fetching_.clear();
     }
@@ -95,64 +187,15 @@
     }
 
     std::unordered_set<Attempt, wire::AttemptHash> listed;
-    for (auto& t : heartbeat.tasks) {
-        listed.insert(t.attempt);
-        auto [it, fresh] = assignments.try_emplace(t.attempt);
-        Assignment& e = it->second;
-        if (fresh) e.placed_at = now;
-        bool was_exited = e.exited(),
-             was_running = e.phase == AssignmentPhase::confirmed && e.started_at != TimePoint{};
-        if (fresh || e.phase != AssignmentPhase::confirmed)
-            changes.push_back({AssignmentChange::confirmed, t.attempt, e});
-        e.phase = AssignmentPhase::confirmed;
-        e.state = t.state;
-        e.cause = t.cause;
-        e.checkpointed = t.checkpointed;
-        if (!was_running && (t.state == TaskState::running || t.state == TaskState::saving)) {
-            e.started_at = now;
-            changes.push_back({AssignmentChange::started, t.attempt, e});
-        }
-        if (!was_exited && t.state == TaskState::exited) {
-            e.ended_at = now;
-            changes.push_back({AssignmentChange::ended, t.attempt, e});
-        }
-    }
-    std::vector<Attempt> gone;
-    for (auto& [a, e] : assignments) {
-        if (listed.contains(a)) continue;
-        bool proven = false;
-        switch (e.phase) {
-            case AssignmentPhase::recording:
-            case AssignmentPhase::ready:
-                break;
-            case AssignmentPhase::pushed:
-                // A push without an answer may execute as long as its token is the highest the worker knows.
-                proven =
-                    !e.in_flight && (!e.launch_unanswered || heartbeat.fencing_token > e.sent_fencing_token);
-                break;
-            case AssignmentPhase::replied:
-                // The worker has one report in flight at a time: its next one shows what became of the
-                // response to the last.
-                proven = from_heartbeat_route && heartbeat.seq > e.reply_seq && !e.in_flight &&
-                         (!e.launch_unanswered || heartbeat.fencing_token > e.sent_fencing_token);
-                break;
-            case AssignmentPhase::recovered:
-                // Whatever the predecessor sent dies with its token, once the worker has seen ours.
-                proven = heartbeat.fencing_token >= own_fencing_token;
-                break;
-            case AssignmentPhase::confirmed:
-                // Seen before, gone now: reaped, or ended with its agent epoch. A push that may still be on
-                // its way could start it again.
-                proven =
-                    !e.in_flight && (!e.launch_unanswered || heartbeat.fencing_token > e.sent_fencing_token);
-                break;
-        }
-        if (proven) gone.push_back(a);
-    }
-    for (auto& a : gone) {
-        auto node = assignments.extract(a);
-        if (!node.mapped().exited()) changes.push_back({AssignmentChange::lost, a, node.mapped()});
+    for (auto& status : heartbeat.tasks) {
+        listed.insert(status.attempt);
+        auto [it, is_new] = assignments.try_emplace(status.attempt);
+        update(it->second, is_new, status, now, changes);
     }
+    remove_if(assignments, changes, [&](auto& attempt, auto& assignment) {
+        return !listed.contains(attempt) &&
+               proven_gone(assignment, heartbeat, from_heartbeat_route, own_fencing_token);
+    });
     return true;
 }
 
@@ -160,29 +203,19 @@
     TimePoint now, bool launches,
     const std::function<bool(const wire::Attempt&, const Assignment&)>& may_reap) const {
     std::vector<wire::Command> out;
-    for (auto& [a, e] : assignments) {
-        if (e.stop_requested && !e.exited() && now >= e.stop_at &&
-            (e.phase == AssignmentPhase::confirmed || e.phase == AssignmentPhase::recovered ||
-             e.launch_unanswered || e.phase == AssignmentPhase::replied ||
-             e.phase == AssignmentPhase::pushed)) {
-            bool saving = e.phase == AssignmentPhase::confirmed && e.state == TaskState::saving;
-            if (!saving || e.grace_s <= 0) out.push_back({wire::Verb::kill, a, e.grace_s});
-        } else if (e.exited()) {
+    for (auto& [attempt, assignment] : assignments) {
+        if (kill_is_due(assignment, now)) {
+            out.push_back({wire::Verb::kill, attempt, assignment.grace_s});
+        } else if (assignment.exited()) {
             // A late launch would start a reaped attempt again, so wait until none can be on its way.
-            if (!e.in_flight && (!e.launch_unanswered || fencing_token_seen > e.sent_fencing_token) &&
-                may_reap(a, e))
-                out.push_back({wire::Verb::reap, a, 0});
-        } else if (launches && !e.stop_requested &&
-                   (e.phase == AssignmentPhase::ready ||
-                    (e.phase == AssignmentPhase::pushed && e.launch_unanswered && !e.in_flight))) {
-            out.push_back({wire::Verb::launch, a, 0});
+            if (launch_settled(assignment, fencing_token_seen) && may_reap(attempt, assignment))
+                out.push_back({wire::Verb::reap, attempt, 0});
+        } else if (launches && launch_is_due(assignment)) {
+            out.push_back({wire::Verb::launch, attempt, 0});
         }
     }
-    // Kills free the room that launches need.
-    std::stable_sort(out.begin(), out.end(), [](auto& x, auto& y) {
-        auto order = [](wire::Verb v) { return v == wire::Verb::kill ? 0 : v == wire::Verb::reap ? 1 : 2; };
-        return order(x.verb) < order(y.verb);
-    });
+    std::stable_sort(out.begin(), out.end(),
+                     [](auto& x, auto& y) { return order_of(x.verb) < order_of(y.verb); });
     return out;
 }
 
