--- a/src/api/leader.hpp
+++ b/src/api/leader.hpp
@@ -60,6 +60,8 @@
   private:
     // Reads the records, then starts the term's loops. Until it is done nobody else looks at the cluster.
     Task<> recover();
+    Task<> read_delegation_records();
+    Task<> recover_delegations(TimePoint now, std::int64_t wall);
     Task<state::Snapshot> read_snapshot();
     Task<> recover_catalog();
     Task<std::size_t> recover_jobs(const state::Snapshot& records, TimePoint now, std::int64_t wall,
--- a/src/api/record_writer.cpp
+++ b/src/api/record_writer.cpp
@@ -63,18 +63,26 @@
 }
 
 Task<> RecordWriter::handle_failure(Outcome outcome) {
-    if (outcome == Outcome::conflict) {
-        services_.election.suspect_lost_leadership();
-        co_await net::sleep_for(conflict_pause);
-    } else if (outcome == Outcome::refused) {
-        co_await net::sleep_for(refused_pause);
-    } else {
-        // It may still be applied later, over newer values: a new token makes sure that it can't.
-        spdlog::info("a transaction got no answer: the token is renewed before the next");
-        while (!co_await services_.election.refresh_fencing_token())
-            co_await net::sleep_for(token_refresh_pause);
-        host_.cluster.lead(services_.election.fencing_token(), host_.acquired);
+    if (outcome != Outcome::conflict && outcome != Outcome::refused) {
+        co_await fence_unknown_write();
+        co_return;
+    }
+    if (outcome == Outcome::conflict) services_.election.suspect_lost_leadership();
+    const auto pause = outcome == Outcome::conflict ? conflict_pause : refused_pause;
+    co_await net::sleep_for(pause);
+}
+
+// It may still be applied later, over newer values: a new token makes sure that it can't.
+Task<> RecordWriter::fence_unknown_write() {
+    spdlog::info("a transaction got no answer: the token is renewed before the next");
+    // A loop of its own, not `while (!co_await ...)` among other awaits: GCC 12 resumed such a frame at no
+    // valid point, and the process ended.
+    for (;;) {
+        const bool refreshed = co_await services_.election.refresh_fencing_token();
+        if (refreshed) break;
+        co_await net::sleep_for(token_refresh_pause);
     }
+    host_.cluster.lead(services_.election.fencing_token(), host_.acquired);
 }
 
 }  // namespace barrowrun::api
--- a/src/api/record_writer.hpp
+++ b/src/api/record_writer.hpp
@@ -31,6 +31,7 @@
     bool progress_due() const;
     net::Task<> write(std::vector<placement::Write> writes);
     net::Task<> handle_failure(state::Outcome outcome);
+    net::Task<> fence_unknown_write();
 
     Services services_;
     Host host_;
--- a/src/api/recovery.cpp
+++ b/src/api/recovery.cpp
@@ -21,8 +21,7 @@
     const auto begun = Clock::now();
     // First of all: parts of other cells' jobs may have to be gone by a moment, and until it is known
     // whether, no heartbeat is answered.
-    if (cell_delegations_)
-        while (!co_await cell_delegations_->read_records()) co_await net::sleep_for(read_retry_pause);
+    if (cell_delegations_) co_await read_delegation_records();
     const auto records = co_await read_snapshot();
     co_await quotas_.recover();
     watch_revision_ = records.jobs.revision;
@@ -33,7 +32,7 @@
     const auto jobs = co_await recover_jobs(records, now, wall, slices);
     if (cell_delegations_) {
         // Before the machines: what these run of other cells' jobs belongs to a job that is known.
-        while (!co_await cell_delegations_->recover(now, wall)) co_await net::sleep_for(read_retry_pause);
+        co_await recover_delegations(now, wall);
         spawn("cells", cell_delegations_->run());
     }
     co_await recover_machines(records.shards, wall, slices);
@@ -49,6 +48,22 @@
     start_loops();
 }
 
+Task<> Leader::read_delegation_records() {
+    for (;;) {
+        const bool read = co_await cell_delegations_->read_records();
+        if (read) co_return;
+        co_await net::sleep_for(read_retry_pause);
+    }
+}
+
+Task<> Leader::recover_delegations(TimePoint now, std::int64_t wall) {
+    for (;;) {
+        const bool recovered = co_await cell_delegations_->recover(now, wall);
+        if (recovered) co_return;
+        co_await net::sleep_for(read_retry_pause);
+    }
+}
+
 Task<state::Snapshot> Leader::read_snapshot() {
     auto records = co_await services_.state.snapshot();
     while (!records) {
