--- a/src/api/leader.cpp
+++ b/src/api/leader.cpp
@@ -303,7 +303,8 @@
 
 Task<> Leader::refresh_fencing_token() {
     InFlight refreshing(refreshing_fencing_token_);
-    if (co_await services_.election.refresh_fencing_token()) {
+    const bool refreshed = co_await services_.election.refresh_fencing_token();
+    if (refreshed) {
         cluster_.lead(services_.election.fencing_token(), acquired_);
         for (auto& [name, machine] : cluster_.machines()) {
             bool unanswered = false;
--- a/src/api/provisioner.cpp
+++ b/src/api/provisioner.cpp
@@ -223,7 +223,9 @@
     while (!machines.empty()) {
         const auto count = static_cast<long>(std::min(max_returned_at_once, machines.size()));
         std::vector<std::string> part(machines.begin(), machines.begin() + count);
-        if (!host_.may_act() || !co_await services_.cloud.return_machines(part)) {
+        bool returned = false;
+        if (host_.may_act()) returned = co_await services_.cloud.return_machines(part);
+        if (!returned) {
             co_await net::sleep_for(no_answer_pause);
             continue;
         }
--- a/src/api/quota_service.cpp
+++ b/src/api/quota_service.cpp
@@ -209,8 +209,11 @@
             continue;
         }
         // It may still be applied. The new token puts an end to that; then the head tells.
-        while (host_.may_act() && !co_await services_.election.refresh_fencing_token())
+        while (host_.may_act()) {
+            const bool refreshed = co_await services_.election.refresh_fencing_token();
+            if (refreshed) break;
             co_await net::sleep_for(refused_retry_pause);
+        }
         if (!head) continue;  // pages that no head names may be written again
         auto recorded = co_await services_.state.get(quota::head_key);
         if (recorded.outcome == Outcome::ok && recorded.value == *head) co_return true;
