--- a/src/placement/attempts.cpp
+++ b/src/placement/attempts.cpp
@@ -1,4 +1,4 @@
-// Machines, and the life of the attempts on them: heartbeats, commands, stops, ends.
+// Life cycle of machines and of the attempts on them: heartbeats, commands, stops and ends.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -9,19 +9,19 @@
 
 namespace barrowrun::placement {
 namespace {
-// Names remembered: some fleets' worth.
+// Bounds the memory for names of removed machines; several times the size of a fleet.
 constexpr std::size_t max_removed_names = 50'000;
-// A first failure may be chance, and is retried soon; then each retry waits twice as long, up to a bound.
+// The first failure may be transient, so its retry comes soon; from the second on, the delay doubles.
 constexpr double first_retry_s = 0.5, max_retry_s = 30;
 constexpr int max_retry_doublings = 8;
-// A start that a worker refused: what it still holds may be gone by then.
+// Delay after a worker refused a start; the attempts that it still holds may have ended by then.
 constexpr double refused_retry_s = 1;
-// A response is at most 64 KiB, and so is a heartbeat: more commands would not fit.
+// Responses and heartbeats are limited to 64 KiB each; more commands would not fit.
 constexpr std::size_t max_commands_per_push = 300;
-// A push without an answer is settled by a new fencing token, if no heartbeat has settled it by then.
+// A launch push without a reply is settled by a new fencing token after this, unless a heartbeat settles it.
 constexpr double unanswered_launch_s = 3;
 
-// A job that fails everywhere must not burn machines: its tries grow rarer.
+// Back-off by consecutive failures of the job, so that a job that always fails does not occupy machines.
 double retry_delay_s(int errors_in_row) {
     if (errors_in_row == 1) return first_retry_s;
     return std::min(max_retry_s, first_retry_s * std::pow(2.0, std::min(errors_in_row, max_retry_doublings)));
@@ -40,8 +40,8 @@
 
 Machine& Cluster::add_machine(const std::string& name, const std::string& type, const std::string& zone,
                               bool spot, TimePoint now) {
-    auto [it, fresh] = machines_.try_emplace(name);
-    if (!fresh) return *it->second;
+    auto [it, inserted] = machines_.try_emplace(name);
+    if (!inserted) return *it->second;
     it->second = std::make_unique<Machine>();
     Machine& m = *it->second;
     m.name = name;
@@ -84,10 +84,10 @@
 }
 
 void Cluster::machine_gone(const std::string& name, const char* proof, TimePoint now) {
-    if (gone_.insert(name).second) gone_order_.push_back(name);
-    if (gone_order_.size() > max_removed_names) {
-        gone_.erase(gone_order_.front());
-        gone_order_.pop_front();
+    if (removed_machines_.insert(name).second) removal_order_.push_back(name);
+    if (removal_order_.size() > max_removed_names) {
+        removed_machines_.erase(removal_order_.front());
+        removal_order_.pop_front();
     }
     auto it = machines_.find(name);
     if (it == machines_.end()) return;
@@ -96,30 +96,30 @@
     std::size_t n = m.live();
     m.clear(changes);
     if (n)
-        spdlog::info("machine {}: gone ({}), {} tasks are rescheduled", name, proof, n);
+        spdlog::info("machine {}: removed ({}), {} tasks are rescheduled", name, proof, n);
     else
-        spdlog::info("machine {}: gone ({})", name, proof);
-    apply(m, changes, now);
-    // In no hurry: a record may name what is gone, never the other way round.
+        spdlog::info("machine {}: removed ({})", name, proof);
+    apply_changes(m, changes, now);
+    // Not written at once: a record may name a removed machine, but it must not omit an existing one.
     shards_.remove_machine(name);
     capacity_index_.removed(m);
     machines_.erase(it);
 }
 
 void Cluster::expire_lease(Machine& m, TimePoint now) {
-    // The worker has killed and forgotten everything; launches still on their way name its old agent epoch.
+    // The worker has killed and forgotten all its tasks; launches in flight name its previous agent epoch.
     std::vector<AssignmentChange> changes;
     std::size_t n = m.live();
     m.clear(changes);
     if (n) spdlog::info("machine {}: lease expired, {} tasks are rescheduled", m.name, n);
-    apply(m, changes, now);
+    apply_changes(m, changes, now);
 }
 
 bool Cluster::on_heartbeat(const wire::WorkerHeartbeat& heartbeat, bool from_heartbeat_route, TimePoint now) {
-    // Heartbeats that a cut had held came from 338 machines that had been returned meanwhile: they were taken
-    // for new ones, and what really ran was stopped as "also elsewhere"
+    // After a network partition, delayed heartbeats of 338 machines that had been returned meanwhile were
+    // taken for new machines, and the attempts that really ran were stopped as duplicates
     // (docs/incidents/leader-without-workers.md).
-    if (gone_.contains(heartbeat.machine)) return false;
+    if (removed_machines_.contains(heartbeat.machine)) return false;
     Machine* known = find_machine(heartbeat.machine);
     if (!known) {
         known = &add_machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, now);
@@ -128,11 +128,11 @@
         mark_machine_changed(heartbeat.machine);
     }
     Machine& m = *known;
-    bool first = !m.up;
+    bool first_heartbeat = !m.up;
     std::string old_address = m.address;
     std::vector<AssignmentChange> changes;
     if (!m.apply_heartbeat(heartbeat, from_heartbeat_route, first_fencing_token_, now, changes)) return false;
-    if (first) {
+    if (first_heartbeat) {
         if (m.type.empty()) {
             m.type = heartbeat.type, m.zone = heartbeat.zone, m.spot = heartbeat.spot;
             if (auto t = types_.find(m.type); t != types_.end()) {
@@ -142,26 +142,27 @@
             capacity_index_.changed(m);
         }
         m.idle_since = now;
-        // The address must be on record: a successor asks every known worker.
+        // The address must be recorded: a successor queries every recorded worker.
         if (m.address != old_address) mark_machine_changed(m.name);
     }
-    apply(m, changes, now);
+    apply_changes(m, changes, now);
     reconcile_reported(m, now);
     if (m.has_live()) m.idle_since = now;
     return true;
 }
 
-void Cluster::apply(Machine& m, const std::vector<AssignmentChange>& changes, TimePoint now) {
+void Cluster::apply_changes(Machine& m, const std::vector<AssignmentChange>& changes, TimePoint now) {
     if (!changes.empty()) capacity_index_.changed(m);
     for (auto& c : changes) {
         Job* job = find_job(c.attempt.task.job);
         auto index = c.attempt.task.index;
         if (job && index >= job->spec.tasks) job = nullptr;
         if (c.kind == AssignmentChange::lost) {
-            Assignment gone = c.assignment;
-            release(gone);
+            Assignment lost = c.assignment;
+            release_charge(lost);
         } else if (c.kind == AssignmentChange::ended) {
-            if (auto it = m.assignments.find(c.attempt); it != m.assignments.end()) release(it->second);
+            if (auto it = m.assignments.find(c.attempt); it != m.assignments.end())
+                release_charge(it->second);
         }
         switch (c.kind) {
             case AssignmentChange::confirmed: {
@@ -179,7 +180,7 @@
                 if (job) m.use_image(job->spec.image, job->spec.image_gb);
                 break;
             case AssignmentChange::ended:
-                ended(m, c.attempt, c.assignment, now);
+                on_attempt_ended(m, c.attempt, c.assignment, now);
                 break;
             case AssignmentChange::lost:
                 if (!job) break;
@@ -189,24 +190,24 @@
                                   c.attempt.number, m.name);
                 unplace(*job, index, m.name, c.attempt.number);
                 if (job->spec.kind == JobKind::gang && !job->finished())
-                    stop_gang(*job, 0, now, "a gang task is gone");
+                    stop_gang(*job, 0, now, "a task of its gang was lost");
                 break;
         }
     }
 }
 
-void Cluster::ended(Machine& m, const Attempt& a, const Assignment& e, TimePoint now) {
+void Cluster::on_attempt_ended(Machine& m, const Attempt& a, const Assignment& e, TimePoint now) {
     note_command(m.name);
     Job* job = find_job(a.task.job);
     if (!job || a.task.index >= job->spec.tasks) return;
-    bool counted = e.started_at != TimePoint{} && e.started_at > e.placed_at;
-    double ran = counted ? Seconds(now - e.started_at).count() : 0;
+    bool run_measured = e.started_at != TimePoint{} && e.started_at > e.placed_at;
+    double run_s = run_measured ? Seconds(now - e.started_at).count() : 0;
     switch (e.cause) {
         case Cause::done:
             failure_attribution::record_success(m);
             job->errors_in_row = 0;
-            if (counted && job->spec.kind == JobKind::array) {
-                job->run_sum += ran;
+            if (run_measured && job->spec.kind == JobKind::array) {
+                job->run_sum += run_s;
                 job->runs++;
             }
             if (job->spec.kind == JobKind::gang) {
@@ -218,18 +219,18 @@
         case Cause::error: {
             job->failed_on.insert(m.name);
             count_error(*job, m, a, now);
-            const bool machines_fault = has_proven_run(*job, now);
-            failure_attribution::record_failure(m, machines_fault, now);
-            if (!machines_fault) {
+            const bool fault_of_machine = has_proven_run(*job, now);
+            failure_attribution::record_failure(m, fault_of_machine, now);
+            if (!fault_of_machine) {
                 job->errors_in_row++;
-                // One that fails wherever it goes speaks against itself: replicas must not be kept off every
-                // machine that it has tried.
+                // A job that fails wherever it runs is itself at fault: replicas must not be kept off all the
+                // machines that it has tried.
                 if (job->failed_on.size() >= failure_attribution::fails_anywhere_after)
                     for (auto& name : job->failed_on)
                         if (Machine* tried = find_machine(name)) failure_attribution::absolve(*tried);
                 job->retry_at = now + secs(retry_delay_s(job->errors_in_row));
             }
-            spdlog::info("task {}: failed on machine {} ({} failures in a row there, {} of the job)",
+            spdlog::info("task {}: failed on machine {} ({} consecutive failures there, {} of the job)",
                          a.task.str(), m.name, m.errors, job->errors_in_row);
             break;
         }
@@ -247,10 +248,10 @@
     }
     unplace(*job, a.task.index, m.name, a.number);
     if (job->spec.kind == JobKind::gang && e.cause != Cause::done && !job->finished() && !e.stop_requested)
-        stop_gang(*job, 0, now, "a gang task ended");
+        stop_gang(*job, 0, now, "a task of its gang ended");
 }
 
-// Tasks that a worker reports but that nobody has any use for are stopped.
+// Stops reported tasks whose results are not needed.
 void Cluster::reconcile_reported(Machine& m, TimePoint now) {
     for (auto& [a, e] : m.assignments) {
         if (e.phase != AssignmentPhase::confirmed) continue;
@@ -261,27 +262,28 @@
         if (e.stop_requested) continue;
         Job* job = find_job(a.task.job);
         if (!job) {
-            request_stop(m, a, e, 0, now, "of no known job");
+            request_stop(m, a, e, 0, now, "its job is unknown");
         } else if (job->cancelled) {
-            request_stop(m, a, e, 0, now, "of a cancelled job");
+            request_stop(m, a, e, 0, now, "its job is cancelled");
         } else if (job->done.contains(a.task.index)) {
-            if (job->spec.kind != JobKind::gang) request_stop(m, a, e, 0, now, "done elsewhere");
+            if (job->spec.kind != JobKind::gang) request_stop(m, a, e, 0, now, "the task is already done");
         } else if (auto it = job->placements.find(a.task.index);
                    it != job->placements.end() && it->second.size() > 1) {
-            // Only records of a predecessor can name two places; the others resolve by themselves.
+            // Only a predecessor's records can give a task two attempts. If either is unconfirmed, a later
+            // heartbeat or the end of a lease settles it without a stop.
             for (auto& [name, number] : it->second) {
                 if (name == m.name && number == a.number) continue;
                 Machine* other = find_machine(name);
                 if (!other) continue;
                 auto o = other->assignments.find({a.task, number});
-                // A late heartbeat of a machine that a predecessor returned may speak of the dead: only one
-                // that has shown this leader's token was heard of now.
+                // A delayed heartbeat of a machine that a predecessor returned may list ended attempts: only
+                // a machine that has reported a token of this leader's term is known to run them now.
                 if (o != other->assignments.end() && o->second.phase == AssignmentPhase::confirmed &&
                     !o->second.exited() && other->fencing_token_seen >= first_fencing_token_ &&
                     number < a.number) {
-                    spdlog::error("task {}: runs on machine {} and on machine {}", a.task.str(), name,
-                                  m.name);
-                    request_stop(m, a, e, 0, now, "also elsewhere");
+                    spdlog::error("task {}: runs on machine {} and on machine {}; the latter is stopped",
+                                  a.task.str(), name, m.name);
+                    request_stop(m, a, e, 0, now, "an earlier attempt runs on another machine");
                 }
             }
         }
@@ -315,22 +317,22 @@
 }
 
 bool Cluster::may_reap(const Attempt& a, const Assignment& e) const {
-    if (unrecorded_error(a, e)) return false;
+    if (has_unrecorded_error(a, e)) return false;
     if (e.cause != Cause::done) return true;
     auto it = jobs_.find(a.task.job);
-    // A result is let go once it is on record.
+    // A result is reaped only once it is recorded.
     return it == jobs_.end() || it->second->cancelled || it->second->durable_done.contains(a.task.index);
 }
 
-// Entries whose start was never sent can simply be dropped when they are to be stopped.
-void Cluster::drop_unsent(Machine& m) {
+// Drops assignments that are to be stopped and whose launch was never sent.
+void Cluster::drop_unsent_starts(Machine& m) {
     std::vector<Attempt> dropped;
     for (auto& [a, e] : m.assignments)
         if (e.stop_requested && !e.launch_unanswered && !e.in_flight &&
             (e.phase == AssignmentPhase::recording || e.phase == AssignmentPhase::ready))
             dropped.push_back(a);
     for (auto& a : dropped) {
-        release(m.assignments.at(a));
+        release_charge(m.assignments.at(a));
         m.assignments.erase(a);
         capacity_index_.changed(m);
         if (Job* job = find_job(a.task.job)) unplace(*job, a.task.index, m.name, a.number);
@@ -338,8 +340,8 @@
 }
 
 std::vector<wire::Command> Cluster::reply_commands(Machine& m, TimePoint now, bool all) {
-    drop_unsent(m);
-    // Launches go by push where the address answers; a response carries them where it does not.
+    drop_unsent_starts(m);
+    // Launches are pushed to workers whose address answers; only the other workers get them in a response.
     auto out =
         m.commands(now, all && !m.push_reachable, [&](auto& a, auto& e) { return all && may_reap(a, e); });
     for (auto& c : out)
@@ -352,7 +354,7 @@
 }
 
 std::vector<wire::Command> Cluster::push_commands(Machine& m, TimePoint now) {
-    drop_unsent(m);
+    drop_unsent_starts(m);
     auto out = m.commands(now, true, [this](auto& a, auto& e) { return may_reap(a, e); });
     if (out.size() > max_commands_per_push) out.resize(max_commands_per_push);
     for (auto& c : out)
@@ -373,7 +375,7 @@
         if (it == m.assignments.end()) continue;
         Assignment& e = it->second;
         e.in_flight = false;
-        if (executed) continue;  // the heartbeat that came with the answer has settled it, or will
+        if (executed) continue;  // settled by the heartbeat in the reply
         if (may_execute) {
             e.launch_unanswered = true;
             e.sent_fencing_token = std::max(e.sent_fencing_token, fencing_token);
--- a/src/placement/cluster.cpp
+++ b/src/placement/cluster.cpp
@@ -1,4 +1,4 @@
-// Jobs: how they come, wait, fail and end.
+// Life cycle of jobs: acceptance, waiting, failures, cancellation and end.
 #include "placement/cluster.hpp"
 
 #include <spdlog/spdlog.h>
@@ -10,7 +10,7 @@
 using wire::JobKind;
 
 namespace {
-// Tasks of a gang fail together: their failures count under the first.
+// The tasks of a gang fail together, so their failures are counted under its first task.
 std::uint32_t error_key(const Job& job, std::uint32_t index) {
     return job.spec.kind == JobKind::gang ? 0 : index;
 }
@@ -23,12 +23,13 @@
 }
 
 std::vector<quota::TeamQuota> quota_teams(const std::map<std::string, TeamLimits>& teams) {
-    auto some = [](double x) { return x > 0 ? std::optional<double>(x) : std::nullopt; };  // 0: none
+    // A guarantee or limit of 0 means that none is set.
+    auto if_positive = [](double x) { return x > 0 ? std::optional<double>(x) : std::nullopt; };
     std::vector<quota::TeamQuota> out;
     for (auto& [name, t] : teams)
         out.push_back({name,
-                       {some(t.cpus_max), some(t.gpus_max), std::nullopt},
-                       {some(t.cpus), some(t.gpus), std::nullopt}});
+                       {if_positive(t.cpus_max), if_positive(t.gpus_max), std::nullopt},
+                       {if_positive(t.cpus), if_positive(t.gpus), std::nullopt}});
     return out;
 }
 
@@ -38,9 +39,9 @@
     if (auto built = quota::Tree::build(config.quotas.value_or(std::vector<quota::QuotaEntry>{}), teams);
         built.tree)
         return built.tree;
-    // Settings are checked when they are read. A platform's own team with a guarantee beyond its limit can
-    // still come here: its limit is the rule.
-    spdlog::error("quotas: not usable, only the platform's limits hold");
+    // Settings are validated when they are read, but a team of the platform may still have a guarantee above
+    // its limit. The limit takes precedence, and the guarantees are dropped.
+    spdlog::error("quotas: the quota tree is invalid; only the limits of the platform's teams apply");
     for (auto& t : teams) t.guarantee = {};
     return quota::Tree::build({}, teams).tree;
 }
@@ -83,8 +84,8 @@
 
 Job& Cluster::add_job(const state::JobRecord& record, const state::Progress* progress, TimePoint now,
                       std::int64_t wall_ms) {
-    auto [it, fresh] = jobs_.try_emplace(record.spec.id);
-    if (!fresh) return *it->second;
+    auto [it, inserted] = jobs_.try_emplace(record.spec.id);
+    if (!inserted) return *it->second;
     it->second = std::make_unique<Job>();
     Job& job = *it->second;
     job.spec = record.spec;
@@ -101,8 +102,8 @@
         if (!free_shapes_.empty()) shape.number = free_shapes_.back(), free_shapes_.pop_back();
     }
     job.shape_number = shape.number;
-    for (auto& o : config_.objectives)
-        if (o.job_class == s.job_class) job.objectives.push_back(&o);
+    for (auto& objective : config_.objectives)
+        if (objective.job_class == s.job_class) job.objectives.push_back(&objective);
     job.accepted = now - std::chrono::milliseconds(
                              std::clamp<std::int64_t>(wall_ms - record.accepted_ms, 0, 86'400'000));
     if (progress) {
@@ -123,8 +124,8 @@
         }
         queue_.set_waiting(job.spec.priority, {job.accepted_ms, job.spec.id}, 0, job.waiting.size());
     }
-    // Workers may have reported tasks of it before this leader knew the job: they are on their machines. Only
-    // then all of them are looked at.
+    // Workers may have reported tasks of the job before this leader knew it. Only then are the assignments of
+    // all machines searched for its tasks.
     if (unknown_jobs_.erase(job.spec.id) > 0)
         for (auto& [name, m] : machines_)
             for (auto& [a, e] : m->assignments)
@@ -136,7 +137,7 @@
     return job;
 }
 
-void Cluster::drop_shape(const Job& job) {
+void Cluster::release_shape(const Job& job) {
     auto it = shapes_.find(job.shape);
     if (it == shapes_.end() || --it->second.jobs > 0) return;
     free_shapes_.push_back(it->second.number);
@@ -165,19 +166,19 @@
     if (job.waiting.empty() && !job.cancelled) job.fully_scheduled = true;
 }
 
-bool Cluster::overdue(const Job& job, TimePoint now) const {
-    double patience = std::max(60.0, 2 * usual_boot_s_);
-    for (auto* aim : job.objectives)
-        if (aim->kind == "wait") patience = std::max(patience, aim->within_s);
-    // What its own limit keeps waiting is not denied by others.
-    return now - job.accepted > secs(patience) && ledger_.admits(job.account, job.spec.need, 1);
+bool Cluster::start_is_overdue(const Job& job, TimePoint now) const {
+    double max_wait_s = std::max(60.0, 2 * usual_boot_s_);
+    for (auto* objective : job.objectives)
+        if (objective->kind == "wait") max_wait_s = std::max(max_wait_s, objective->within_s);
+    // A job that waits because of its own limit is not starved by other jobs.
+    return now - job.accepted > secs(max_wait_s) && ledger_.admits(job.account, job.spec.need, 1);
 }
 
 std::vector<StarvationMonitor::Finding> Cluster::check_starvation(TimePoint now) {
     starvation_.begin_pass(now);
     for (auto& [id, job] : jobs_) {
         if (job->cancelled) continue;
-        job->objective_missed = !job->fully_scheduled && overdue(*job, now);
+        job->objective_missed = !job->fully_scheduled && start_is_overdue(*job, now);
         if (job->fully_scheduled || job->objective_missed)
             starvation_.observe(job->spec.job_class, job->spec.team, job->fully_scheduled);
     }
@@ -198,7 +199,7 @@
     job.cancelled = true;
     queue_.set_waiting(job.spec.priority, {job.accepted_ms, job.spec.id}, job.waiting.size(), 0);
     job.waiting = {};
-    // Nobody has any use for what its tasks do from here on: no grace.
+    // Further results of the tasks are discarded, so they get no time to checkpoint.
     auto placements = job.placements;
     for (auto& [index, list] : placements)
         for (auto& [name, number] : list)
@@ -238,13 +239,13 @@
     mark_write_pending(job);
 }
 
-// ---- failures that count -------------------------------------------------------------------------------
+// ---- counted failures ----------------------------------------------------------------------------------
 
 void Cluster::count_error(Job& job, const Machine& m, const Attempt& a, TimePoint now) {
     if (!job.spec.retries || job.cancelled || job.finished() || job.done.contains(a.task.index)) return;
     auto key = error_key(job, a.task.index);
     auto& errors = job.errors[key];
-    // Heard before, from this worker or by a predecessor; of a gang, from another of its tasks.
+    // The failure was counted before: from this worker, by a predecessor or, in a gang, for another task.
     if (a.number <= errors.last) return;
     errors.count++;
     errors.last = a.number;
@@ -252,20 +253,22 @@
     job.error_count->errors++;
     job.error_count->last = wire::Failure{a.task.str(), m.name, a.number};
     mark_write_pending(job);
-    // The record names every task that failed and is not done; one that would outgrow its value ends the job.
+    // The record names every task that failed and is not done. The job fails before this record outgrows the
+    // size limit of a value.
     bool too_many = job.errors.size() > config_.value_bytes / 64;
     if (errors.count <= *job.spec.retries && !too_many) return;
-    spdlog::info("job {}: failed, as task {} failed {} times, last on machine {}{}", job.spec.id,
-                 a.task.str(), errors.count, m.name, too_many ? ", as did too many other tasks" : "");
+    spdlog::info("job {}: failed: task {} failed {} times, last on machine {}{}", job.spec.id, a.task.str(),
+                 errors.count, m.name, too_many ? "; too many of its tasks have failed" : "");
     job.failed = true;
     cancel(job, now);
 }
 
-void Cluster::errors_recorded(Job& job, const std::map<std::uint32_t, state::TaskErrors>& written) {
+void Cluster::on_errors_recorded(Job& job, const std::map<std::uint32_t, state::TaskErrors>& written) {
     for (auto it = job.unrecorded_errors.begin(); it != job.unrecorded_errors.end();) {
-        auto now = job.errors.find(*it);
-        auto then = written.find(*it);
-        if (now != job.errors.end() && (then == written.end() || then->second != now->second)) {
+        auto current = job.errors.find(*it);
+        auto recorded = written.find(*it);
+        if (current != job.errors.end() &&
+            (recorded == written.end() || recorded->second != current->second)) {
             ++it;
             continue;
         }
@@ -278,7 +281,7 @@
     }
 }
 
-bool Cluster::unrecorded_error(const Attempt& a, const Assignment& e) const {
+bool Cluster::has_unrecorded_error(const Attempt& a, const Assignment& e) const {
     if (e.cause != Cause::error) return false;
     auto it = jobs_.find(a.task.job);
     if (it == jobs_.end() || it->second->cancelled) return false;
--- a/src/placement/delegation.cpp
+++ b/src/placement/delegation.cpp
@@ -1,18 +1,18 @@
-// What other cells run for this one, and what this one runs for them.
+// Delegation of tasks to executor cells, and execution of shards that origin cells delegated to this one.
 #include <algorithm>
 
 #include "placement/cluster.hpp"
 
 namespace barrowrun::placement {
 
-IndexSet Cluster::delegate(Job& job, std::uint32_t most) {
+IndexSet Cluster::delegate(Job& job, std::uint32_t max_tasks) {
     IndexSet out;
     if (job.cancelled || job.runs_for_origin_cell) return out;
-    // The last in order go: the first are next here.
-    std::uint32_t stay = job.waiting.size() - std::min(job.waiting.size(), most);
+    // The last tasks in order are delegated, since the first ones start next in this cell.
+    std::uint32_t kept_waiting = job.waiting.size() - std::min(job.waiting.size(), max_tasks);
     job.waiting.each([&](std::uint32_t i) {
-        if (stay > 0)
-            --stay;
+        if (kept_waiting > 0)
+            --kept_waiting;
         else if (!job.placements.contains(i))
             out.insert(i);
     });
@@ -48,7 +48,7 @@
         if (!done.contains(i)) progress.done.erase(i);
     });
     Job& job = add_job(record, &progress, now, wall_ms);
-    // If all of it was done it has been marked as any other job would be.
+    // add_job() has marked a shard whose tasks are all done for writing, as it does with a job of this cell.
     job.runs_for_origin_cell = true;
     pending_jobs_.erase(record.spec.id);
     changed_delegated_shards_.insert(record.spec.id);
@@ -66,7 +66,7 @@
     for (auto& [index, list] : job.placements)
         for (auto& [name, number] : list) note_command(name);
     queue_.set_waiting(job.spec.priority, {job.accepted_ms, id}, job.waiting.size(), 0);
-    drop_shape(job);
+    release_shape(job);
     changed_delegated_shards_.erase(id);
     jobs_.erase(id);
 }
--- a/src/placement/expiry.cpp
+++ b/src/placement/expiry.cpp
@@ -1,4 +1,5 @@
-// Time passing: leases that run out, faulty machines, machines that are drained or taken.
+// Time-driven events: lease expiry, quarantine, and stops on machines that are drained or reclaimed by the
+// cloud.
 #include <map>
 
 #include "placement/cluster.hpp"
@@ -9,10 +10,10 @@
 using wire::TaskState;
 
 bool Cluster::tick(TimePoint now, const std::function<TimePoint(const std::string&)>& others) {
-    bool moved = false;
-    std::map<std::string, TimePoint> by_zone;
+    bool lease_expired = false;
+    std::map<std::string, TimePoint> renewed_until;
     auto answered = [&](const std::string& zone) {
-        auto [it, fresh] = by_zone.try_emplace(zone, acquired_);
+        auto [it, fresh] = renewed_until.try_emplace(zone, acquired_);
         if (fresh && others) it->second = std::max(acquired_, others(zone));
         return it->second;
     };
@@ -20,7 +21,7 @@
         Machine& m = *mp;
         if (!m.assignments.empty() && now >= m.lease_expiry(config_.lease_s, answered(m.zone))) {
             expire_lease(m, now);
-            moved = true;
+            lease_expired = true;
         }
         if (m.has_live()) m.idle_since = now;
         failure_attribution::update_quarantine(m, now, [&] {
@@ -38,17 +39,17 @@
                 if (job->spec.checkpoint_s > 0 && e.phase == AssignmentPhase::confirmed &&
                     e.state == TaskState::running) {
                     if (job->spec.kind == JobKind::gang)
-                        stop_gang(*job, grace_for(*job), now, "its machine goes away");
+                        stop_gang(*job, grace_for(*job), now, "its machine is drained or reclaimed");
                     else
-                        request_stop(m, a, e, grace_for(*job), now, "its machine goes away");
+                        request_stop(m, a, e, grace_for(*job), now, "its machine is drained or reclaimed");
                 } else if (m.draining && job->spec.kind != JobKind::gang) {
-                    request_stop(m, a, e, 0, now, "its machine is emptied");
+                    request_stop(m, a, e, 0, now, "its machine is drained");
                 }
             }
         }
     }
     enforce_lowered_limits(now);
-    return moved;
+    return lease_expired;
 }
 
 }  // namespace barrowrun::placement
--- a/src/placement/record_writes.cpp
+++ b/src/placement/record_writes.cpp
@@ -1,4 +1,4 @@
-// What must be on record, and what follows once it is.
+// The records of jobs and machines: which writes are pending, and their effects once they are durable.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 using wire::Json;
 
 namespace {
-// How long the value is as JSON text, without writing it: sheets of 10 KB are measured with each start on
-// them.
+// The length of the value as JSON text. Computed without serializing it, because an assignment shard of
+// 10 KB is measured for each start on its machines.
 std::size_t text_size(const wire::Json& value) {
     auto digits = [](std::uint64_t n) {
         std::size_t length = 1;
@@ -59,7 +59,7 @@
 }
 
 std::size_t Cluster::max_tasks_per_machine() const {
-    // The longest name of a task with its attempt takes 52 characters.
+    // The longest task name together with its attempt number takes 52 characters.
     return std::max<std::size_t>(
         1, (config_.value_bytes - std::min<std::size_t>(config_.value_bytes, 400)) / 56);
 }
@@ -69,7 +69,7 @@
     r.provisioned_ms =
         wall_ms - std::chrono::duration_cast<std::chrono::milliseconds>(now - m.provisioned_at).count();
     for (auto& [a, e] : m.assignments)
-        if (!e.exited() || e.launch_unanswered || unrecorded_error(a, e)) r.attempts.push_back(a);
+        if (!e.exited() || e.launch_unanswered || has_unrecorded_error(a, e)) r.attempts.push_back(a);
     return r;
 }
 
@@ -78,7 +78,7 @@
     std::vector<Write> out;
     std::size_t bytes = 0;
     auto add = [&](Write w) {
-        // The limits are counted as JSON text; MessagePack is never longer by much, so measure as JSON.
+        // Measured as JSON text, which the state service's limits count; MessagePack is never much longer.
         bytes += w.key.size() + 40 + (w.value ? text_size(*w.value) : 0);
         out.push_back(std::move(w));
     };
@@ -92,21 +92,22 @@
         if (due.empty()) break;
         auto number = due.front();
         Json value = Json::array();
-        std::vector<std::pair<std::string, Attempt>> fresh;
+        std::vector<std::pair<std::string, Attempt>> starts;
         for (auto& name : shards_.machines(number)) {
             Machine* m = find_machine(name);
             if (!m) continue;
             value.push_back(state::to_json(record_of(*m, now, wall_ms)));
             for (auto& [a, e] : m->assignments)
-                if (e.phase == AssignmentPhase::recording) fresh.emplace_back(name, a);
+                if (e.phase == AssignmentPhase::recording) starts.emplace_back(name, a);
         }
         std::size_t size = text_size(value);
         if (!shards_.record_size(number, size)) continue;
         if (!out.empty() && bytes + size > max_bytes) break;
         shards_.on_write_sent(number);
-        add({state::assignment_shard_key(number), std::move(value), [this, number, fresh = std::move(fresh)] {
+        add({state::assignment_shard_key(number), std::move(value),
+             [this, number, starts = std::move(starts)] {
                  shards_.on_write_durable(number);
-                 for (auto& [name, a] : fresh) {
+                 for (auto& [name, a] : starts) {
                      Machine* m = find_machine(name);
                      if (!m) continue;
                      auto it = m->assignments.find(a);
@@ -127,23 +128,23 @@
         it = pending_jobs_.erase(it);
         if (!job) continue;
         job->write_pending = false;
-        bool over = job->cancelled ? (job->cancel_durable && job->placements.empty()) : job->finished();
-        over &= job->delegated.empty();  // a part of it is still another cell's
-        job->write_in_flight |= (over || job->cancelled) && !job->cancel_durable;
-        if (over) {
-            state::FinishedRecord past{job->failed      ? wire::JobState::failed
-                                       : job->cancelled ? wire::JobState::cancelled
-                                                        : wire::JobState::done,
-                                       job->done.size(), job->error_count};
-            add({state::finished_key(id), state::to_json(past), [this, id, past] {
+        bool ended = job->cancelled ? (job->cancel_durable && job->placements.empty()) : job->finished();
+        ended &= job->delegated.empty();  // not while an executor cell has a shard of the job
+        job->write_in_flight |= (ended || job->cancelled) && !job->cancel_durable;
+        if (ended) {
+            state::FinishedRecord finished{job->failed      ? wire::JobState::failed
+                                           : job->cancelled ? wire::JobState::cancelled
+                                                            : wire::JobState::done,
+                                           job->done.size(), job->error_count};
+            add({state::finished_key(id), state::to_json(finished), [this, id, finished] {
                      Job* j = find_job(id);
                      if (!j) return;
-                     spdlog::debug("job {}: over, {}", id, wire::job_state_name(past.state));
-                     finished_jobs_[id] = past;
+                     spdlog::debug("job {}: end recorded as {}", id, wire::job_state_name(finished.state));
+                     finished_jobs_[id] = finished;
                      for (auto& [index, list] : j->placements)
                          for (auto& [name, number] : list) note_command(name);
                      queue_.set_waiting(j->spec.priority, {j->accepted_ms, id}, j->waiting.size(), 0);
-                     drop_shape(*j);
+                     release_shape(*j);
                      if (j->fully_scheduled || j->objective_missed)
                          starvation_.job_over(j->spec.job_class, j->spec.team, j->fully_scheduled);
                      jobs_.erase(id);
@@ -156,7 +157,7 @@
                      Job* j = find_job(id);
                      if (!j) return;
                      j->durable_done = p.done;
-                     errors_recorded(*j, p.errors);
+                     on_errors_recorded(*j, p.errors);
                      if (p.cancelled) {
                          j->cancel_durable = true;
                          j->write_in_flight = j->write_unanswered = false;
@@ -170,8 +171,9 @@
 }
 
 void Cluster::write_failed(std::vector<Write> writes, bool may_be_executed) {
-    // Values are absolute: machines and jobs are written anew from what is known by then.
-    std::deque<Write> again;
+    // Each value is a complete record, so the records of machines and jobs are built again from the
+    // state at the time of the next write.
+    std::deque<Write> other_writes;
     for (auto& w : writes) {
         if (auto* job = find_job(w.key.substr(w.key.find('/') + 1)); job && job->write_in_flight) {
             job->write_in_flight = false;
@@ -184,14 +186,14 @@
         } else if (w.key.starts_with("past/")) {
             pending_jobs_.insert(w.key.substr(5));
         } else if (w.key.starts_with("jobs/") || w.key.starts_with("progress/")) {
-            // goes with its past/ record
+            // written again together with the job's past/ record
         } else {
-            again.push_back(std::move(w));
+            other_writes.push_back(std::move(w));
         }
     }
-    while (!again.empty()) {
-        queued_writes_.push_front(std::move(again.back()));
-        again.pop_back();
+    while (!other_writes.empty()) {
+        queued_writes_.push_front(std::move(other_writes.back()));
+        other_writes.pop_back();
     }
 }
 
