--- a/tests/job_lifecycle_test.cpp
+++ b/tests/job_lifecycle_test.cpp
@@ -1,10 +1,11 @@
-// How a job goes on over a change of leader, and how it ends: what is on record before anybody is told.
+// Jobs across a change of leader, at their end and when cancelled. State changes must be recorded before they
+// are reported.
 #include "support.hpp"
 
 using namespace barrowrun;
 using namespace barrowrun::testing;
 
-TEST(Failover, InheritedStartsWaitForThisLeadersToken) {
+TEST(ClusterRecovery, RecoveredAttemptBlocksARestartUntilItsWorkerReportsThisLeadersToken) {
     Fleet f;
     f.restart(50);
     auto& job = f.add(f.spec("wk-1", 2));
@@ -16,7 +17,7 @@
     f.up("n-2");
     f.place_all();
     EXPECT_TRUE(f.on("n-2").empty());
-    // A report made before the worker saw the new token proves nothing about the old leader's pushes.
+    // A heartbeat sent before the worker saw the new token does not rule out a late push of the old leader.
     f.cluster->on_heartbeat(f.heartbeat("n-1", {}, 49), true, f.now);
     EXPECT_EQ(job.placements.size(), 2u);
     Attempt zero{{"wk-1", 0}, 7};
@@ -24,14 +25,14 @@
                             f.now);
     EXPECT_EQ(job.placements.size(), 1u);
     EXPECT_TRUE(job.waiting.contains(1));
-    // Attempt numbers of different leaders never meet.
+    // Attempt numbers of different leaders never collide.
     f.place_all();
     for (auto& [index, list] : job.placements)
         for (auto& [name, number] : list) EXPECT_TRUE(index == 0 || number > (50ULL << 20));
 }
 
-// A worker may report tasks before the leader has heard of their job: they are running all the same.
-TEST(Failover, TasksReportedBeforeTheirJobIsKnownAreNotStartedAgain) {
+// A worker may report running tasks before the leader has read the record of their job.
+TEST(ClusterRecovery, TasksReportedBeforeTheirJobIsKnownAreNotStartedAgain) {
     Fleet f;
     Attempt zero{{"wk-1", 0}, 7};
     f.cluster->on_heartbeat(f.heartbeat("n-1", {{zero, TaskState::running, Cause::none, false}}), true,
@@ -44,7 +45,7 @@
     EXPECT_TRUE(job.waiting.empty());
 }
 
-TEST(Failover, ASilentMachineIsCountedFromTheAcquisition) {
+TEST(ClusterRecovery, LeaseOfASilentMachineCountsFromTheStartOfTheLeadersTerm) {
     Fleet f;
     f.restart(50);
     f.add(f.spec("wk-1"));
@@ -55,9 +56,9 @@
     EXPECT_GE(f.machine("n-1").lease_expiry(20, f.cluster->acquired()), f.now + 20s);
 }
 
-// Others may read a record that was sent from the moment on which it was sent, and without an answer for
-// longer.
-TEST(Finish, NothingIsToldFromMemoryWhileARecordThatChangesItMayBeReadByOthers) {
+// Other nodes may read a record as soon as its write is sent. If the write gets no reply, they may still do
+// so later.
+TEST(JobCompletion, WriteOutcomeIsUnknownWhileACancellationIsInFlightOrUnanswered) {
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
@@ -66,23 +67,23 @@
     f.write();
     EXPECT_FALSE(job.write_outcome_unknown());
     f.cluster->cancel(job, f.now);
-    EXPECT_FALSE(job.write_outcome_unknown()) << "nothing was sent yet";
+    EXPECT_FALSE(job.write_outcome_unknown()) << "no write was sent yet";
     auto writes = f.cluster->take_writes(10, 1 << 20, f.now, f.wall);
-    EXPECT_TRUE(job.write_outcome_unknown()) << "it is under way";
+    EXPECT_TRUE(job.write_outcome_unknown()) << "the write is in flight";
     f.cluster->write_failed(std::move(writes), false);
-    EXPECT_FALSE(job.write_outcome_unknown()) << "it was refused";
+    EXPECT_FALSE(job.write_outcome_unknown()) << "the write was refused";
     writes = f.cluster->take_writes(10, 1 << 20, f.now, f.wall);
     f.cluster->write_failed(std::move(writes), true);
-    EXPECT_TRUE(job.write_outcome_unknown()) << "it may have been carried out";
+    EXPECT_TRUE(job.write_outcome_unknown()) << "the write had no reply and may have been executed";
     writes = f.cluster->take_writes(10, 1 << 20, f.now, f.wall);
     f.cluster->write_failed(std::move(writes), false);
-    EXPECT_TRUE(job.write_outcome_unknown()) << "the one before still may have been";
+    EXPECT_TRUE(job.write_outcome_unknown()) << "the earlier unanswered write may still have been executed";
     f.write();
     EXPECT_FALSE(job.write_outcome_unknown());
     EXPECT_EQ(job.job_state(), wire::JobState::cancelled);
 }
 
-TEST(Finish, ResultsAreOnRecordBeforeTheyAreToldOrReaped) {
+TEST(JobCompletion, ResultIsRecordedBeforeItIsReportedOrReaped) {
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
@@ -102,13 +103,13 @@
     EXPECT_EQ(commands[0].verb, Verb::reap);
 }
 
-// With many running jobs their progress filled every transaction, and starts waited for the state service's
-// rate.
-TEST(Finish, ProgressDoesNotCrowdOutStartsButEndsAndCancellationsGo) {
+// The progress of many running jobs once filled every transaction, so that starts had to wait because of the
+// state service's rate limit.
+TEST(JobCompletion, EndsAndCancellationsAreWrittenEvenWhileProgressIsDeferred) {
     Fleet f;
     f.up("n-1");
-    auto& half = f.add(f.spec("wk-1", 2));
-    auto& whole = f.add(f.spec("wk-2"));
+    auto& half_done = f.add(f.spec("wk-1", 2));
+    auto& finished = f.add(f.spec("wk-2"));
     auto& cancelled = f.add(f.spec("wk-3"));
     f.place_all();
     f.run("n-1");
@@ -120,8 +121,8 @@
     }
     f.cluster->on_heartbeat(f.heartbeat("n-1", tasks), true, f.now);
     f.cluster->cancel(cancelled, f.now);
-    EXPECT_EQ(half.done.size(), 1u);
-    EXPECT_TRUE(whole.finished());
+    EXPECT_EQ(half_done.done.size(), 1u);
+    EXPECT_TRUE(finished.finished());
     EXPECT_TRUE(f.cluster->has_urgent_writes());
     std::set<std::string> keys;
     for (auto& w : f.cluster->take_writes(100, 1 << 20, f.now, f.wall, false)) keys.insert(w.key);
@@ -134,13 +135,13 @@
     EXPECT_TRUE(keys.contains("progress/wk-1"));
 }
 
-TEST(Cancel, AgainstAStartThatWasNotSentYet) {
+TEST(JobCancellation, StartThatWasNotSentBeforeTheCancellationIsNeverSent) {
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1", 2));
     f.cluster->schedule_round(f.now);
     f.cluster->cancel(job, f.now);
-    EXPECT_NE(job.job_state(), wire::JobState::cancelled) << "not before it is on record";
+    EXPECT_NE(job.job_state(), wire::JobState::cancelled) << "reported before the cancellation is recorded";
     f.write();
     EXPECT_EQ(job.job_state(), wire::JobState::cancelled);
     for (auto& c : f.cluster->push_commands(f.machine("n-1"), f.now)) EXPECT_NE(c.verb, Verb::launch);
@@ -148,7 +149,7 @@
     EXPECT_EQ(f.cluster->finished_job("wk-1")->state, wire::JobState::cancelled);
 }
 
-TEST(Cancel, AgainstALaunchInFlightAndAgainstDone) {
+TEST(JobCancellation, LaunchInFlightIsKilledAndTheJobStaysCancelledEvenIfTheTaskCompletes) {
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
@@ -162,14 +163,14 @@
     ASSERT_EQ(commands.size(), 1u);
     EXPECT_EQ(commands[0].verb, Verb::kill);
     EXPECT_EQ(commands[0].grace_s, 0);
-    // It may complete before the kill arrives: the job stays cancelled.
+    // The task may complete before the kill arrives; the job stays cancelled.
     f.cluster->on_heartbeat(f.heartbeat("n-1", {{a, TaskState::exited, Cause::done, false}}), true, f.now);
     f.write();
     f.write();
     EXPECT_EQ(f.cluster->finished_job("wk-1")->state, wire::JobState::cancelled);
 }
 
-TEST(Cancel, TasksOfNoKnownJobAreStopped) {
+TEST(JobCancellation, ReportedTaskOfAnUnknownJobIsKilled) {
     Fleet f;
     Attempt a{{"wk-9", 0}, 3};
     f.cluster->on_heartbeat(f.heartbeat("n-1", {{a, TaskState::running, Cause::none, false}}), true, f.now);
--- a/tests/retries_test.cpp
+++ b/tests/retries_test.cpp
@@ -1,4 +1,5 @@
-// Failures that count: a job that sets `retries` ends as failed, and each failure counts exactly once.
+// Counting of task failures: a job that exceeds its `retries` ends as failed, and each failure is counted
+// exactly once, also across a change of leader.
 #include "support.hpp"
 
 using namespace barrowrun;
@@ -6,15 +7,16 @@
 
 namespace {
 
-struct Counting : Fleet {
+struct RetryFleet : Fleet {
     std::uint64_t number = 0;
-    wire::JobSpec limited(std::uint32_t retries, std::uint32_t tasks = 1) {
+    wire::JobSpec job_with_retries(std::uint32_t retries, std::uint32_t tasks = 1) {
         auto s = spec("wk-1", tasks);
         s.retries = retries;
         return s;
     }
-    // Starts task 0 on the machine and lets it fail there; what the worker then reports, until it is reaped.
-    TaskStatus fail(const std::string& name) {
+    // Starts task 0 on the machine and makes it fail there. Returns the status that the worker reports until
+    // the attempt is reaped.
+    TaskStatus start_and_fail(const std::string& name) {
         now += 60s;
         cluster->on_heartbeat(heartbeat(name, {}, cluster->fencing_token()), true, now);
         place_all();
@@ -24,18 +26,18 @@
         cluster->on_heartbeat(heartbeat(name, {failed}, cluster->fencing_token()), true, now);
         return failed;
     }
-    wire::JobState past() { return cluster->finished_job("wk-1").value().state; }
-    // The records as a successor reads them.
-    std::map<std::string, std::optional<wire::Json>> store;
-    void keep() {
-        for (auto& w : write()) store[w.key] = w.value;
+    wire::JobState finished_state() { return cluster->finished_job("wk-1").value().state; }
+    // The records that a successor reads.
+    std::map<std::string, std::optional<wire::Json>> stored_records;
+    void write_and_store() {
+        for (auto& w : write()) stored_records[w.key] = w.value;
     }
-    void successor(std::uint64_t fencing_token, const wire::JobSpec& s) {
+    void start_successor(std::uint64_t fencing_token, const wire::JobSpec& s) {
         restart(fencing_token);
-        auto kept = store["progress/wk-1"];
-        auto p = kept ? state::parse_progress(*kept, s.tasks) : std::nullopt;
-        cluster->add_job({s, 1'000'000}, p ? &*p : nullptr, now, wall);
-        for (auto& [key, value] : store) {
+        auto progress_record = stored_records["progress/wk-1"];
+        auto progress = progress_record ? state::parse_progress(*progress_record, s.tasks) : std::nullopt;
+        cluster->add_job({s, 1'000'000}, progress ? &*progress : nullptr, now, wall);
+        for (auto& [key, value] : stored_records) {
             auto n = state::parse_assignment_shard_key(key);
             if (!n || !value) continue;
             auto records = state::parse_assignment_shard(*value);
@@ -47,10 +49,10 @@
 
 }  // namespace
 
-TEST(Retries, PastTheLimitTheJobIsFailedAndItsOtherTasksStop) {
-    Counting f;
+TEST(Retries, JobFailsAndItsOtherTasksAreStoppedOnceATaskExceedsItsRetries) {
+    RetryFleet f;
     f.up("n-1");
-    f.add(f.limited(1, 2));
+    f.add(f.job_with_retries(1, 2));
     f.place_all();
     auto sent = f.run("n-1");
     ASSERT_EQ(sent.size(), 2u);
@@ -74,17 +76,17 @@
     EXPECT_TRUE(f.machine("n-1").assignments.at(other).stop_requested);
     f.cluster->on_heartbeat(f.heartbeat("n-1", {}), true, f.now);
     f.write();
-    EXPECT_EQ(f.past(), wire::JobState::failed);
+    EXPECT_EQ(f.finished_state(), wire::JobState::failed);
     EXPECT_EQ(f.cluster->finished_job("wk-1")->errors->errors, 2u);
     EXPECT_EQ(f.cluster->finished_job("wk-1")->errors->last->machine, "n-1");
 }
 
-TEST(Retries, WithoutTheFieldAJobIsTriedForGood) {
-    Counting f;
+TEST(Retries, JobWithoutRetryLimitIsRetriedIndefinitely) {
+    RetryFleet f;
     f.up("n-1");
     f.add(f.spec("wk-1"));
     for (int i = 0; i < 6; ++i) {
-        f.fail("n-1");
+        f.start_and_fail("n-1");
         f.write();
     }
     ASSERT_TRUE(f.cluster->find_job("wk-1"));
@@ -92,12 +94,12 @@
     EXPECT_FALSE(f.cluster->find_job("wk-1")->error_count);
 }
 
-TEST(Retries, AFailureIsOnRecordBeforeItIsReapedOrTheTaskRestarts) {
-    Counting f;
+TEST(Retries, FailureIsRecordedBeforeItIsReapedOrItsTaskIsRestarted) {
+    RetryFleet f;
     f.up("n-1");
-    auto& job = f.add(f.limited(3));
-    f.fail("n-1");
-    // Not written yet: neither reaped nor started again.
+    auto& job = f.add(f.job_with_retries(3));
+    f.start_and_fail("n-1");
+    // The failure is not recorded yet: the attempt is not reaped and the task is not restarted.
     EXPECT_TRUE(f.cluster->reply_commands(f.machine("n-1"), f.now).empty());
     f.now += 60s;
     EXPECT_FALSE(f.cluster->schedule_round(f.now));
@@ -109,16 +111,16 @@
     EXPECT_EQ(commands[0].verb, Verb::reap);
 }
 
-TEST(Retries, AFailoverAfterTheRecordDoesNotCountAFailureTwice) {
-    Counting f;
-    auto s = f.limited(1);
+TEST(Retries, SuccessorDoesNotCountARecordedFailureAgain) {
+    RetryFleet f;
+    auto s = f.job_with_retries(1);
     f.up("n-1");
     f.add(s);
-    f.keep();
-    auto failed = f.fail("n-1");
-    f.keep();
-    f.successor(20, s);
-    // The worker still shows it: the reap was never sent.
+    f.write_and_store();
+    auto failed = f.start_and_fail("n-1");
+    f.write_and_store();
+    f.start_successor(20, s);
+    // The worker still reports the failed attempt, as the reap was never sent.
     f.cluster->on_heartbeat(f.heartbeat("n-1", {failed}, 20), true, f.now);
     EXPECT_EQ(f.cluster->find_job("wk-1")->error_count->errors, 1u);
     EXPECT_FALSE(f.cluster->find_job("wk-1")->failed);
@@ -126,33 +128,34 @@
     EXPECT_EQ(f.cluster->reply_commands(f.machine("n-1"), f.now).size(), 1u);
 }
 
-TEST(Retries, AFailoverBeforeTheRecordDoesNotLoseTheLastFailure) {
-    Counting f;
-    auto s = f.limited(0);
+TEST(Retries, SuccessorCountsAFailureThatItsPredecessorDidNotRecord) {
+    RetryFleet f;
+    auto s = f.job_with_retries(0);
     f.up("n-1");
     f.add(s);
     f.cluster->schedule_round(f.now);
-    f.keep();
+    f.write_and_store();
     auto sent = f.run("n-1");
     ASSERT_EQ(sent.size(), 1u);
     TaskStatus failed{sent[0].attempt, TaskState::exited, Cause::error, false};
     f.cluster->on_heartbeat(f.heartbeat("n-1", {failed}), true, f.now);
-    // The leader dies before it writes. Its successor starts nothing until the machine has spoken.
-    f.successor(20, s);
+    // The leader dies before it records the failure. Its successor does not restart the task before the
+    // machine has sent a heartbeat.
+    f.start_successor(20, s);
     f.up("n-2");
     EXPECT_FALSE(f.cluster->schedule_round(f.now));
     f.cluster->on_heartbeat(f.heartbeat("n-1", {failed}, 20), true, f.now);
     EXPECT_TRUE(f.cluster->find_job("wk-1")->failed);
     f.write();
     f.write();
-    EXPECT_EQ(f.past(), wire::JobState::failed);
+    EXPECT_EQ(f.finished_state(), wire::JobState::failed);
     EXPECT_EQ(f.cluster->finished_job("wk-1")->errors->errors, 1u);
 }
 
-TEST(Retries, TheAssignmentShardNamesAFailureUntilItIsCounted) {
-    Counting f;
+TEST(Retries, AssignmentShardKeepsAFailedAttemptUntilItsFailureIsRecorded) {
+    RetryFleet f;
     f.up("n-1");
-    f.add(f.limited(2));
+    f.add(f.job_with_retries(2));
     f.cluster->schedule_round(f.now);
     f.write();
     auto sent = f.run("n-1");
@@ -164,10 +167,10 @@
     EXPECT_EQ(Fleet::recorded(writes).at("n-1").size(), 1u);
 }
 
-TEST(Retries, AGangFailsOnceHoweverManyOfItsTasksReportIt) {
-    Counting f;
+TEST(Retries, GangFailureCountsOnceWhenSeveralOfItsTasksReportIt) {
+    RetryFleet f;
     f.up("n-1");
-    auto s = f.limited(1, 2);
+    auto s = f.job_with_retries(1, 2);
     s.kind = wire::JobKind::gang;
     f.add(s);
     f.place_all();
@@ -183,7 +186,7 @@
     EXPECT_EQ(job->waiting.size(), 2u);
 }
 
-TEST(Retries, TheFieldAndTheCountsSurviveTheWire) {
+TEST(Retries, RetryLimitAndFailureCountsRoundTripThroughMessagesAndRecords) {
     Fleet f;
     auto s = f.spec("wk-7");
     s.retries = 4;
@@ -193,9 +196,9 @@
     EXPECT_TRUE(std::holds_alternative<std::string>(wire::parse_submission(body)));
     wire::JobStatus status{"wk-7", wire::JobState::failed, 1, 0,
                            wire::ErrorCount{2, wire::Failure{"wk-7/0", "n-1", 9}}};
-    auto back = wire::parse_status(wire::status_json(status));
-    ASSERT_TRUE(back && back->errors && back->errors->last);
-    EXPECT_EQ(back->errors->last->attempt, 9u);
+    auto parsed = wire::parse_status(wire::status_json(status));
+    ASSERT_TRUE(parsed && parsed->errors && parsed->errors->last);
+    EXPECT_EQ(parsed->errors->last->attempt, 9u);
     state::Progress p;
     p.errors[3] = {2, 77};
     auto read = state::parse_progress(state::to_json(p, 5), 5);
