--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -1,4 +1,4 @@
-// Lower work that is preempted for higher, and machines that are evicted gracefully.
+// Preemption of tasks of lower priority, and graceful eviction from machines that the cloud reclaims.
 #include "support.hpp"
 
 using namespace barrowrun;
@@ -6,15 +6,15 @@
 using wire::JobKind;
 using wire::Priority;
 
-TEST(Preemption, ProductionTakesRoomFromLowerWorkButNeverFromItsOwnLevel) {
+TEST(Preemption, ProductionServicePreemptsOneNormalTaskAndNormalJobPreemptsNone) {
     Fleet f;
     f.up("n-1");
     auto batch = f.spec("wk-1", 4);
     f.add(batch);
     f.place_all();
     f.run("n-1");
-    auto same = f.spec("wk-2");
-    f.add(same);
+    auto same_priority = f.spec("wk-2");
+    f.add(same_priority);
     f.place_all();
     EXPECT_TRUE(f.cluster->push_commands(f.machine("n-1"), f.now).empty());
     auto service = f.spec("wk-3");
@@ -25,14 +25,14 @@
     auto kills = f.cluster->push_commands(f.machine("n-1"), f.now);
     ASSERT_EQ(kills.size(), 1u);
     EXPECT_EQ(kills[0].attempt.task.job, "wk-1");
-    // While the room is being made, no further victim is picked.
+    // No further victim is chosen while the first one is being stopped.
     f.place_all();
-    int stopped = 0;
-    for (auto& [a, e] : f.machine("n-1").assignments) stopped += e.stop_requested;
-    EXPECT_EQ(stopped, 1);
+    int stopping_tasks = 0;
+    for (auto& [a, e] : f.machine("n-1").assignments) stopping_tasks += e.stop_requested;
+    EXPECT_EQ(stopping_tasks, 1);
 }
 
-TEST(Drain, ANoticedMachineGetsNothingNewAndSavesWhatCanBeSaved) {
+TEST(Drain, MachineWithSpotNoticeGetsNoNewTasksAndItsTaskGetsTimeToSaveACheckpoint) {
     Fleet f;
     f.up("n-1", "a", "small", true);
     auto s = f.spec("wk-1");
@@ -55,17 +55,18 @@
     EXPECT_EQ(f.on("n-1").size(), 1u);
 }
 
-// A fetch can take longer than a service may wait: lower work yields where the image already is.
-TEST(Preemption, AServiceWithLittleTimeGoesWhereItsImageIs) {
-    placement::Config rules;
-    rules.teams["crew"] = {};
-    rules.objectives = {{"wait", "web", 1.0, 1}};
-    Fleet f(rules);
+// Fetching an image can take longer than a service may wait to start: a task of lower priority is preempted
+// on the machine that already has the image.
+TEST(Preemption, ServiceWithShortWaitObjectivePreemptsWhereItsImageIsCached) {
+    placement::Config config;
+    config.teams["crew"] = {};
+    config.objectives = {{"wait", "web", 1.0, 1}};
+    Fleet f(config);
     f.up("n-1").use_image("web-img", 1);
     f.add(f.spec("wk-1", 4));
     f.place_all();
     f.run("n-1");
-    f.up("n-2");  // free, but without the image
+    f.up("n-2");  // free, but does not have the image
     auto s = f.spec("wk-2");
     s.job_class = "web";
     s.image = "web-img";
@@ -75,19 +76,19 @@
     f.place_all();
     EXPECT_TRUE(f.on("n-2").empty());
     EXPECT_EQ(f.cluster->push_commands(f.machine("n-1"), f.now).size(), 1u);
-    f.now += 2s;  // too late for that: any room will do
+    f.now += 2s;  // the objective is missed: the service takes any free machine
     f.up("n-2");
     f.place_all();
     EXPECT_EQ(f.on("n-2").size(), 1u);
 }
 
-// Saving takes longer than a replica may be away: the victim is not given the time.
-TEST(Preemption, VictimsSaveOnlyIfNoReplicaWaitsForIt) {
-    for (double aim : {1.0, 60.0}) {
-        placement::Config rules;
-        rules.teams["crew"] = {};
-        rules.objectives = {{"wait", "web", aim, 1}};
-        Fleet f(rules);
+// If saving a checkpoint takes longer than a replica may wait to start, the victim is stopped without it.
+TEST(Preemption, VictimGetsTimeToSaveOnlyIfWaitObjectiveOfReplicaAllows) {
+    for (double wait_s : {1.0, 60.0}) {
+        placement::Config config;
+        config.teams["crew"] = {};
+        config.objectives = {{"wait", "web", wait_s, 1}};
+        Fleet f(config);
         f.up("n-1");
         auto batch = f.spec("wk-1", 1, 4);
         batch.checkpoint_s = 15;
@@ -103,6 +104,6 @@
         f.place_all();
         auto kills = f.cluster->push_commands(f.machine("n-1"), f.now);
         ASSERT_EQ(kills.size(), 1u);
-        EXPECT_EQ(kills[0].grace_s >= 5, aim > 10) << aim;
+        EXPECT_EQ(kills[0].grace_s >= 5, wait_s > 10) << "wait objective of " << wait_s << " s";
     }
 }
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -1,4 +1,4 @@
-// Which waiting task is started where: order, constraints, gangs, and what a round may cost.
+// Scheduling of waiting tasks: order, placement constraints, gangs, and the cost of a scheduling round.
 #include "support.hpp"
 
 using namespace barrowrun;
@@ -6,22 +6,22 @@
 using wire::JobKind;
 using wire::Priority;
 
-TEST(Placement, OldestOfTheHighestLevelFirstAndMisfitsArePassed) {
+TEST(Scheduler, OldestJobOfHighestPriorityStartsFirstAndJobThatDoesNotFitIsSkipped) {
     Fleet f;
     auto low = f.spec("wk-1", 4);
     low.priority = Priority::low;
-    auto big = f.spec("wk-2", 1, 5);  // fits no small machine
+    auto too_large = f.spec("wk-2", 1, 5);  // does not fit on a small machine
     auto later = f.spec("wk-3", 3);
-    for (auto* s : {&low, &big, &later}) f.add(*s);
+    for (auto* s : {&low, &too_large, &later}) f.add(*s);
     f.up("n-1");
     f.place_all();
     EXPECT_EQ(f.cluster->find_job("wk-3")->placements.size(), 3u);
     EXPECT_EQ(f.cluster->find_job("wk-1")->placements.size(), 1u);
     EXPECT_EQ(f.cluster->find_job("wk-2")->waiting.size(), 1u);
-    EXPECT_EQ(f.cluster->queue().level(2).begin()->id, "wk-2");  // keeps its place
+    EXPECT_EQ(f.cluster->queue().level(2).begin()->id, "wk-2");  // keeps its position in the queue
 }
 
-TEST(Placement, NothingIsSentBeforeItIsOnRecord) {
+TEST(Scheduler, LaunchIsSentOnlyAfterItsRecordIsWritten) {
     Fleet f;
     f.up("n-1");
     f.add(f.spec("wk-1"));
@@ -30,33 +30,34 @@
     auto writes = f.cluster->take_writes(16, 48 * 1024, f.now, f.wall);
     ASSERT_EQ(writes.size(), 1u);
     EXPECT_EQ(Fleet::recorded(writes).at("n-1").size(), 1u);
-    // A transaction that failed changes nothing and is written anew.
+    // A failed transaction sends no launch; the record is written again.
     f.cluster->write_failed(std::move(writes));
     EXPECT_TRUE(f.cluster->push_commands(f.machine("n-1"), f.now).empty());
     f.write();
     EXPECT_EQ(f.cluster->push_commands(f.machine("n-1"), f.now).size(), 1u);
 }
 
-TEST(Placement, ATaskThatMayStillRunIsNotStartedElsewhere) {
+TEST(Scheduler, TaskOnSilentMachineIsStartedElsewhereOnlyAfterLeaseExpiry) {
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
     f.place_all();
     f.run("n-1");
     f.machine("n-1").last_answer = f.now;
-    f.now += 10s;  // silent from here on
+    f.now += 10s;  // n-1 sends no heartbeat from here on
     f.up("n-2");
     f.place_all();
     EXPECT_TRUE(f.on("n-2").empty());
     auto& m = f.machine("n-1");
-    EXPECT_GT(m.lease_expiry(20, f.cluster->acquired()), f.now + 10s) << "lease, drift and timer steps";
+    EXPECT_GT(m.lease_expiry(20, f.cluster->acquired()), f.now + 10s)
+        << "the expiry includes the lease, clock drift and timer resolution";
     f.cluster->expire_lease(m, f.now);
     f.place_all();
     EXPECT_EQ(f.on("n-2").size(), 1u);
     EXPECT_EQ(job.placements.size(), 1u);
 }
 
-TEST(Placement, AReturnedMachineIsProvenEmpty) {
+TEST(Scheduler, TasksOfReturnedMachineWaitAgainAndItsRecordIsRemoved) {
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1", 2));
@@ -69,7 +70,7 @@
     EXPECT_FALSE(Fleet::recorded(writes).contains("n-1"));
 }
 
-TEST(Constraints, SpreadCountsTasksThatMayStillRun) {
+TEST(Scheduler, SpreadServiceRunsAtMostHalfOfItsTasksRoundedUpInOneZone) {
     Fleet f;
     auto s = f.spec("wk-1", 3);
     s.spread = true;
@@ -77,14 +78,14 @@
     auto& job = f.add(s);
     f.up("n-1", "a");
     f.place_all();
-    EXPECT_EQ(job.placements.size(), 2u);  // two of three may share a zone
+    EXPECT_EQ(job.placements.size(), 2u);  // half of three tasks, rounded up
     f.up("n-2", "b");
     f.place_all();
     EXPECT_EQ(job.placements.size(), 3u);
     EXPECT_EQ(f.on("n-2").size(), 1u);
 }
 
-TEST(Constraints, SamePlaceCountsTasksThatMayStillRun) {
+TEST(Scheduler, SingleZoneJobStartsTasksInOneZoneOnly) {
     Fleet f;
     auto s = f.spec("wk-1", 6);
     s.one_zone = true;
@@ -96,21 +97,21 @@
     EXPECT_TRUE(f.on("n-1").empty() || f.on("n-2").empty());
 }
 
-TEST(Constraints, TheTeamLimitCountsTasksThatMayStillRun) {
-    placement::Config rules;
-    rules.teams["crew"] = {0, 0, 3, 0};
-    Fleet f(rules);
+TEST(Scheduler, TeamLimitCountsTasksOnSuspectedMachine) {
+    placement::Config config;
+    config.teams["crew"] = {0, 0, 3, 0};
+    Fleet f(config);
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1", 8));
     f.place_all();
     EXPECT_EQ(job.placements.size(), 3u);
-    f.machine("n-1").suspected = true;  // silent, but what it ran may go on
+    f.machine("n-1").suspected = true;  // sends no heartbeats, but its tasks may still run
     f.up("n-2");
     f.place_all();
     EXPECT_TRUE(f.on("n-2").empty());
 }
 
-TEST(Constraints, OnlyJobsThatMayUseSpotMachinesDo) {
+TEST(Scheduler, SpotMachineIsGivenOnlyTasksOfJobsThatAllowSpot) {
     Fleet f;
     f.up("n-1", "a", "small", true);
     auto& job = f.add(f.spec("wk-1"));
@@ -123,7 +124,7 @@
     EXPECT_EQ(f.on("n-1").size(), 1u);
 }
 
-TEST(Gang, AllOrNoneAndAgainOnlyWhenAllAreGone) {
+TEST(Scheduler, GangStartsAsAWholeAndRestartsOnlyAfterAllItsTasksAreGone) {
     Fleet f;
     auto s = f.spec("wk-1", 3, 2);
     s.kind = JobKind::gang;
@@ -134,26 +135,29 @@
     f.up("n-2");
     f.place_all();
     ASSERT_EQ(job.placements.size(), 3u);
-    std::set<std::uint64_t> numbers;
+    std::set<std::uint64_t> attempt_numbers;
     for (auto name : {"n-1", "n-2"})
-        for (auto& a : f.on(name)) numbers.insert(a.number);
-    EXPECT_EQ(numbers.size(), 1u) << "the tasks of a gang find one another by their attempt";
+        for (auto& a : f.on(name)) attempt_numbers.insert(a.number);
+    EXPECT_EQ(attempt_numbers.size(), 1u)
+        << "all tasks of a gang have the same attempt number, by which they find one another";
     f.run("n-1");
     f.run("n-2");
-    // One machine is lost: the rest is stopped, and nothing starts before it is gone.
-    std::string lost = f.on("n-1").size() == 1 ? "n-1" : "n-2", rest = lost == "n-1" ? "n-2" : "n-1";
-    f.cluster->machine_gone(lost, "returned", f.now);
+    // One machine is lost: the tasks on the other one are stopped, and the gang restarts only after they are
+    // gone.
+    std::string lost_machine = f.on("n-1").size() == 1 ? "n-1" : "n-2",
+                remaining_machine = lost_machine == "n-1" ? "n-2" : "n-1";
+    f.cluster->machine_gone(lost_machine, "returned", f.now);
     f.up("n-3");
     f.place_all();
     EXPECT_TRUE(f.on("n-3").empty());
-    auto kills = f.cluster->push_commands(f.machine(rest), f.now);
+    auto kills = f.cluster->push_commands(f.machine(remaining_machine), f.now);
     EXPECT_EQ(kills.size(), 2u);
-    f.cluster->on_heartbeat(f.heartbeat(rest), true, f.now);
+    f.cluster->on_heartbeat(f.heartbeat(remaining_machine), true, f.now);
     f.place_all();
     EXPECT_EQ(job.placements.size(), 3u);
 }
 
-TEST(Queue, AHundredThousandTasksCostNoWalkPerRound) {
+TEST(Scheduler, RoundsStayFastWithTwoHundredThousandWaitingTasks) {
     Fleet f;
     for (int i = 0; i < 2; ++i) f.add(f.spec("wk-" + std::to_string(i), 100'000, 4));
     f.up("n-1");
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -6,7 +6,7 @@
 using barrowrun::wire::Json;
 
 namespace {
-Json good() {
+Json valid_settings() {
     return Json::parse(
         R"({"node_name":"barrow-0","area":"a","serve_on":"10.0.0.1:8080","internal_addr":"10.0.0.1:8081",
       "members":[{"node_name":"barrow-1","area":"a","addr":"10.0.0.2:8081"}],
@@ -18,9 +18,9 @@
         "cloud":{"rps":4.0,"list_lag_s":3.0},"quota":{"cores":0.12,"ram_mb":104.0,"max_sockets":2500},
         "clock_error_ms":25.0},"novel":1})");
 }
-std::string error_of(const Json& j) {
+std::string error_of(const Json& settings) {
     try {
-        parse_settings(j.dump());
+        parse_settings(settings.dump());
     } catch (const SettingsError& e) {
         return e.what();
     }
@@ -28,49 +28,49 @@
 }
 }  // namespace
 
-TEST(Settings, ReadsThePlatformFile) {
-    auto s = parse_settings(good().dump());
-    EXPECT_EQ(s.node_name, "barrow-0");
-    EXPECT_EQ(s.members.size(), 1u);
-    EXPECT_EQ(s.placement.lease_s, 22.0);
-    EXPECT_EQ(s.placement.txn_ops, 32u);
-    EXPECT_EQ(s.placement.objectives.size(), 1u);
+TEST(Settings, ParsesThePlatformFileAndIgnoresUnknownFields) {
+    auto settings = parse_settings(valid_settings().dump());
+    EXPECT_EQ(settings.node_name, "barrow-0");
+    EXPECT_EQ(settings.members.size(), 1u);
+    EXPECT_EQ(settings.placement.lease_s, 22.0);
+    EXPECT_EQ(settings.placement.txn_ops, 32u);
+    EXPECT_EQ(settings.placement.objectives.size(), 1u);
 }
 
-TEST(Settings, ErrorsNameTheField) {
+TEST(Settings, ErrorsNameTheMissingOrInvalidField) {
     EXPECT_NE(error_of(Json::array()), "");
-    auto j = good();
-    j.erase("serve_on");
-    EXPECT_NE(error_of(j).find("serve_on"), std::string::npos);
-    j = good();
-    j["external"]["state"] = "somewhere";
-    EXPECT_NE(error_of(j).find("external.state"), std::string::npos);
-    j = good();
-    j["deployment"]["workers"]["lease_s"] = -1;
-    EXPECT_NE(error_of(j).find("deployment.workers.lease_s"), std::string::npos);
-    j = good();
-    j["members"][0].erase("addr");
-    EXPECT_NE(error_of(j).find("members[0].addr"), std::string::npos);
+    auto settings = valid_settings();
+    settings.erase("serve_on");
+    EXPECT_NE(error_of(settings).find("serve_on"), std::string::npos);
+    settings = valid_settings();
+    settings["external"]["state"] = "somewhere";
+    EXPECT_NE(error_of(settings).find("external.state"), std::string::npos);
+    settings = valid_settings();
+    settings["deployment"]["workers"]["lease_s"] = -1;
+    EXPECT_NE(error_of(settings).find("deployment.workers.lease_s"), std::string::npos);
+    settings = valid_settings();
+    settings["members"][0].erase("addr");
+    EXPECT_NE(error_of(settings).find("members[0].addr"), std::string::npos);
     EXPECT_THROW(parse_settings("{"), SettingsError);
 }
 
-TEST(OperatorSettings, AreCheckedAgainstTheSchema) {
-    auto s = parse_settings(good().dump());
-    apply_operator_settings(s, R"({"queue_bound": 1000, "leader_hold_ms": 4000})");
-    EXPECT_EQ(s.placement.queue_bound, 1000u);
-    EXPECT_EQ(s.leader_lease, std::chrono::milliseconds(4000));
-    s.placement.lease_s = 20, s.placement.cancel_s = 50;
-    EXPECT_GT(s.lease_renewal_period(), std::chrono::seconds(29));
-    apply_operator_settings(s, R"({"keep_leases": false})");
-    EXPECT_EQ(s.lease_renewal_period(), std::chrono::seconds(0));
+TEST(OperatorSettings, ValidFieldsAreAppliedAndInvalidOrUnknownFieldsAreRejected) {
+    auto settings = parse_settings(valid_settings().dump());
+    apply_operator_settings(settings, R"({"queue_bound": 1000, "leader_hold_ms": 4000})");
+    EXPECT_EQ(settings.placement.queue_bound, 1000u);
+    EXPECT_EQ(settings.leader_lease, std::chrono::milliseconds(4000));
+    settings.placement.lease_s = 20, settings.placement.cancel_s = 50;
+    EXPECT_GT(settings.lease_renewal_period(), std::chrono::seconds(29));
+    apply_operator_settings(settings, R"({"keep_leases": false})");
+    EXPECT_EQ(settings.lease_renewal_period(), std::chrono::seconds(0));
     for (auto bad : {R"({"queue_bound": "many"})", R"({"queue_bound": 0})"}) {
         try {
-            apply_operator_settings(s, bad);
+            apply_operator_settings(settings, bad);
             ADD_FAILURE() << bad;
         } catch (const SettingsError& e) {
             EXPECT_NE(std::string(e.what()).find("queue_bound"), std::string::npos) << e.what();
         }
     }
-    EXPECT_THROW(apply_operator_settings(s, R"({"nonsense": 1})"), SettingsError);
-    EXPECT_THROW(apply_operator_settings(s, "{"), SettingsError);
+    EXPECT_THROW(apply_operator_settings(settings, R"({"nonsense": 1})"), SettingsError);
+    EXPECT_THROW(apply_operator_settings(settings, "{"), SettingsError);
 }
