--- a/src/config/cells.hpp
+++ b/src/config/cells.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Cells as a file gives them, checked against schema/cells.schema.json and against themselves.
+// Parses the settings of cells, and checks them against schema/cells.schema.json and for consistency.
 #include <string>
 
 #include "cells/settings.hpp"
@@ -7,7 +7,7 @@
 
 namespace barrowrun::config {
 
-// Throws ConfigError. `limited`: teams that have a limit, which no other cell knows to keep.
-cells::Settings parse_cells(const nlohmann::json& document, const std::set<std::string>& limited);
+// Throws ConfigError. `limited_teams`: teams with a limit, which other cells cannot enforce.
+cells::Settings parse_cells(const nlohmann::json& document, const std::set<std::string>& limited_teams);
 
 }  // namespace barrowrun::config
--- a/src/config/quotas.hpp
+++ b/src/config/quotas.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Quotas as a file gives them, checked against schema/quotas.schema.json. What the nodes say of one another
-// is checked by quota::Tree::build.
+// Parses quota files, checked against schema/quotas.schema.json. The relations between nodes are checked by
+// quota::Tree::build.
 #include <string>
 
 #include "config/schema.hpp"
@@ -8,7 +8,8 @@
 
 namespace barrowrun::config {
 
-// The lines, and `over_limit_grace_s` where it is said, as a change of nothing. Throws ConfigError.
+// Returns the entries, and `over_limit_grace_s` if the file gives it, as a change with base version 0.
+// Throws ConfigError.
 quota::Change parse_quotas(const nlohmann::json& document);
 quota::Change parse_quotas_text(const std::string& text);
 
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -13,12 +13,12 @@
 using Json = nlohmann::json;
 
 struct SchemaViolation {
-    std::size_t depth = 0;  // of the place in the document; the root has 1
-    std::string path;       // as in <root>[quotas][nodes]
+    std::size_t depth = 0;  // of the location in the document; the root has depth 1
+    std::string path;       // for example <root>[quotas][nodes]
     std::string reason = "does not match the schema";
 };
 
-// The violation that names the deepest place: those above only say that something below is wrong.
+// Returns the violation at the deepest location: those above only say that something below is invalid.
 SchemaViolation deepest_violation(valijson::ValidationResults& results) {
     SchemaViolation deepest;
     valijson::ValidationResults::Error error;
@@ -33,7 +33,7 @@
     return deepest;
 }
 
-// What the schema says of a property of the root, as " expected {...}"; empty: the place is another one.
+// Returns the schema of a violated property of the root as " expected {...}"; for other locations, nothing.
 std::string expectation(const Json& schema, const SchemaViolation& violation) {
     constexpr std::size_t depth_of_properties = 2;
     if (violation.depth != depth_of_properties) return "";
--- a/src/config/schema.hpp
+++ b/src/config/schema.hpp
@@ -1,17 +1,17 @@
 #pragma once
-// Files of settings are checked against their schema before anything in them is used.
+// Validates settings files against their JSON schema before they are used.
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 #include <string>
 
 namespace barrowrun::config {
 
-// One line that names the place and what is expected there.
+// The message is one line that names the location in the document and the value expected there.
 struct ConfigError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// The document if it is JSON and matches the schema; otherwise throws ConfigError.
+// Returns the parsed document. Throws ConfigError if it is not JSON or does not match the schema.
 nlohmann::json parse_validated(const std::string& text, const std::string& schema);
 
 }  // namespace barrowrun::config
--- a/src/quota/entry_hierarchy.cpp
+++ b/src/quota/entry_hierarchy.cpp
@@ -41,7 +41,7 @@
     EntryHierarchy resolve() {
         for (std::size_t i = 0; i < entries_.size(); ++i) resolve_entry(i);
         order_parents_first();
-        // What was never reached is invalid, in a cycle, or below one of these.
+        // Entries missing from the order are invalid, part of a cycle, or descendants of such entries.
         if (hierarchy_.order.size() < entries_.size()) report_cycles();
         return std::move(hierarchy_);
     }
@@ -66,30 +66,31 @@
                    "several nodes are named '" + printable(entry.in) + "': expected a path");
     }
 
-    void reject(std::size_t index, const std::string& path, std::string what) {
-        add_error(errors_, path, std::move(what));
+    void reject(std::size_t index, const std::string& path, std::string message) {
+        add_error(errors_, path, std::move(message));
         invalid_[index] = 1;
     }
 
-    // The entries that `in` may mean; it is valid if that is exactly one.
-    std::vector<std::size_t> parent_candidates(const std::string& in) const {
-        const auto same_name = by_name_.find(last_component(in));
+    // Returns the entries that `reference` (a name or path) can denote: exactly one if it is valid.
+    std::vector<std::size_t> parent_candidates(const std::string& reference) const {
+        const auto same_name = by_name_.find(last_component(reference));
         if (same_name == by_name_.end()) return {};
         auto candidates = same_name->second;
-        if (is_path(in)) {
-            std::erase_if(candidates, [&](auto index) { return !has_path(index, in); });
+        if (is_path(reference)) {
+            std::erase_if(candidates, [&](auto index) { return !has_path(index, reference); });
             return candidates;
         }
         if (candidates.size() < 2) return candidates;
-        // A path of one component means the node at the top.
-        std::vector<std::size_t> at_top;
+        // Among several entries of the same name, a path of one component denotes the top-level one.
+        std::vector<std::size_t> top_level;
         for (auto index : candidates)
-            if (entries_[index].in.empty()) at_top.push_back(index);
-        return at_top.size() == 1 ? at_top : candidates;
+            if (entries_[index].in.empty()) top_level.push_back(index);
+        return top_level.size() == 1 ? top_level : candidates;
     }
 
-    // Whether as many names upwards as `path` has components agree. An ancestor may itself be given by path,
-    // which then has to be the rest of this one, or by a name that only one node bears.
+    // Returns whether the names of an entry and its ancestors match `path`, compared from the last component
+    // upwards. An ancestor may name its parent by path, which then has to equal the rest of `path`, or by a
+    // name that only one node has.
     bool has_path(std::size_t index, std::string path) const {
         for (std::size_t level = 0; level <= max_depth; ++level) {
             const QuotaEntry& entry = entries_[index];
@@ -115,12 +116,12 @@
                 order.push_back(i);
         }
         for (std::size_t k = 0; k < order.size(); ++k) {
-            const auto& below = children[order[k]];
-            order.insert(order.end(), below.begin(), below.end());
+            const auto& children_of_entry = children[order[k]];
+            order.insert(order.end(), children_of_entry.begin(), children_of_entry.end());
         }
     }
 
-    // Each cycle is reported once, by its first entry.
+    // Reports each cycle once, under its first entry.
     void report_cycles() {
         std::vector<char> reached(entries_.size(), 0);
         for (auto index : hierarchy_.order) reached[index] = 1;
@@ -135,7 +136,8 @@
         }
     }
 
-    // The entries from `start` upwards until `start` comes again; empty: it isn't itself in a cycle.
+    // Returns the entries from `start` upwards until `start` is reached again; empty if `start` is not itself
+    // part of a cycle.
     std::vector<std::size_t> cycle_through(std::size_t start) const {
         std::vector<std::size_t> chain;
         std::size_t index = start;
--- a/src/quota/entry_hierarchy.hpp
+++ b/src/quota/entry_hierarchy.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Which entry of a quota tree is in which. Entries name their parent by its path, or by its name where only
-// one node bears it; here that becomes indices. Amounts are not looked at.
+// Resolves the parent of each entry of a quota tree. An entry names its parent by path, or by name where only
+// one node has that name; the result refers to entries by index. Limits and guarantees are not examined.
 #include <cstddef>
 #include <optional>
 #include <vector>
@@ -10,14 +10,15 @@
 namespace barrowrun::quota {
 
 struct EntryHierarchy {
-    // By entry; absent: the entry is at the top, or its parent is invalid.
+    // Index of the parent, by entry; absent for top-level entries and for entries whose parent is invalid.
     std::vector<std::optional<std::size_t>> parents;
-    // The valid entries, parents before their children. Invalid ones and all below them are left out.
+    // Indices of the valid entries, parents before their children. Invalid entries and their descendants are
+    // omitted.
     std::vector<std::size_t> order;
 };
 
-// Appends an error for each name that isn't allowed, each parent that is missing or ambiguous, and each
-// cycle. Entries from `operator_entry_count` on stand for the platform's teams, whose names aren't checked.
+// Appends an error for each invalid name, each missing or ambiguous parent, and each cycle. Entries from
+// index `operator_entry_count` on represent platform teams, whose names are not checked.
 EntryHierarchy resolve_hierarchy(const std::vector<QuotaEntry>& entries, std::size_t operator_entry_count,
                                  std::vector<ValidationError>& errors);
 
--- a/src/quota/ledger.cpp
+++ b/src/quota/ledger.cpp
@@ -8,8 +8,8 @@
 namespace barrowrun::quota {
 namespace {
 
-// How many tasks fit between what is used and a bound, at most `wanted`. Amounts that a task doesn't need
-// don't matter.
+// Returns how many tasks fit between `used` and `bound`, at most `wanted`. Resources that a task does not
+// need are ignored.
 std::uint32_t tasks_that_fit(const Resources& need, const Resources& used, const Resources& bound,
                              std::uint32_t wanted) {
     double tasks = wanted;
@@ -35,7 +35,7 @@
 void Ledger::release(NodeId account, const Resources& need) {
     for (NodeId n = account;; n = tree_->node(n).parent) {
         used_[n] -= need;
-        // Sums of decimals drift; an account that holds nothing uses nothing.
+        // Sums of decimal amounts drift, so the usage of a node without tasks is reset to zero.
         if (--tasks_[n] == 0) used_[n] = {};
         if (n == root) return;
     }
@@ -57,10 +57,10 @@
 std::uint32_t Ledger::tasks_within_guarantee(NodeId account, const Resources& need, std::uint32_t wanted,
                                              NodeId top) const {
     if (!tree_->has_guarantees()) return 0;
-    std::uint32_t most = 0;
+    std::uint32_t max_tasks = 0;
     for (NodeId n = account; n != root && n != top; n = tree_->node(n).parent)
-        most = std::max(most, tasks_within_guarantee_of(n, need, wanted));
-    return most;
+        max_tasks = std::max(max_tasks, tasks_within_guarantee_of(n, need, wanted));
+    return max_tasks;
 }
 
 std::uint32_t Ledger::tasks_within_guarantee_at(std::uint32_t depth, NodeId account, const Resources& need,
@@ -90,16 +90,17 @@
 }
 
 bool Ledger::may_be_preempted(NodeId holder, const Resources& need, NodeId beneficiary) const {
-    const NodeId shared = tree_->lowest_common_ancestor(holder, beneficiary);
-    for (NodeId n = holder; n != shared; n = tree_->node(n).parent) {
+    const NodeId common_ancestor = tree_->lowest_common_ancestor(holder, beneficiary);
+    for (NodeId n = holder; n != common_ancestor; n = tree_->node(n).parent) {
         const Node& node = tree_->node(n);
         if (!node.has_guarantee()) continue;
-        // One amount of which it borrows is enough: a task goes as a whole.
+        // Borrowing one of the resources is enough, because a task is stopped as a whole.
         bool borrows = false;
         for (auto dimension : dimensions) {
             if (dimension == &Resources::mem_gb && !node.memory_guaranteed) continue;
-            const double without = used_[n].*dimension - need.*dimension;
-            borrows |= need.*dimension > 0 && without >= node.guarantee.*dimension - amount_tolerance;
+            const double used_without_task = used_[n].*dimension - need.*dimension;
+            borrows |=
+                need.*dimension > 0 && used_without_task >= node.guarantee.*dimension - amount_tolerance;
         }
         if (!borrows) return false;
     }
@@ -107,12 +108,12 @@
 }
 
 Resources Ledger::over_limit(NodeId n) const {
-    Resources out;
+    Resources excess_amounts;
     for (auto dimension : dimensions) {
         const double excess = used_[n].*dimension - tree_->node(n).limit.*dimension;
-        if (excess > amount_tolerance) out.*dimension = excess;
+        if (excess > amount_tolerance) excess_amounts.*dimension = excess;
     }
-    return out;
+    return excess_amounts;
 }
 
 }  // namespace barrowrun::quota
--- a/src/quota/ledger.hpp
+++ b/src/quota/ledger.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// What every node of a tree has in use, kept by deltas: a start costs the depth of its account, however many
-// machines and nodes there are. Charged is every task that may still be on a machine, sent or not.
+// Resource usage of every node of a quota tree, updated incrementally: the cost of a task's start depends
+// only on the depth of its account, not on the number of machines and nodes. Every task that may still be on
+// a machine is charged, whether or not its launch command has been sent.
 #include "quota/tree.hpp"
 
 namespace barrowrun::quota {
@@ -16,26 +17,30 @@
     void charge(NodeId account, const Resources& need);
     void release(NodeId account, const Resources& need);
 
-    // How many of `wanted` tasks more no level refuses.
+    // Returns how many of `wanted` additional tasks fit within the limits of the account and its ancestors.
     std::uint32_t admissible_tasks(NodeId account, const Resources& need, std::uint32_t wanted) const;
     bool admits(NodeId account, const Resources& need, std::uint32_t tasks) const {
         return admissible_tasks(account, need, tasks) == tasks;
     }
-    // The level nearest to the account that refuses one task more.
+    // Returns the node nearest to the account whose limit does not admit one more task.
     std::optional<NodeId> first_exceeded_limit(NodeId account, const Resources& need) const;
-    // How many of `wanted` tasks more fit within the guarantee of some level from the account up to `top` (it
-    // itself not), whatever limits say: others may have filled a limit that they share with it.
+    // Returns how many of `wanted` additional tasks fit within the guarantee of at least one node from the
+    // account up to `top` (exclusive). Limits are ignored: other accounts may have exhausted a limit that
+    // they share with this one.
     std::uint32_t tasks_within_guarantee(NodeId account, const Resources& need, std::uint32_t wanted,
                                          NodeId top = root) const;
-    // The same for the level of one depth alone.
+    // The same, but only for the node at `depth` on the path from the account to the root.
     std::uint32_t tasks_within_guarantee_at(std::uint32_t depth, NodeId account, const Resources& need,
                                             std::uint32_t wanted) const;
-    // The depth of the deepest level that has some of its guarantee unused; 0: none has.
+    // Returns the depth of the deepest node that uses fewer CPUs or GPUs than guaranteed; 0 if there is
+    // none.
     std::uint32_t deepest_unmet_guarantee() const;
-    // Whether a held task may be stopped for the sake of `to`: at every level that the two don't share its
-    // holder keeps its guarantee without it. What is borrowed may yield; what is guaranteed may not.
-    bool may_be_preempted(NodeId holder, const Resources& need, NodeId to) const;
-    // By how much a node is over its limit, per amount; zeros: it isn't.
+    // Returns whether a task of `holder` may be preempted in favour of `beneficiary`: each node with a
+    // guarantee from the holder up to their common ancestor (exclusive) must still reach its guarantee
+    // without the task, in at least one resource that the task uses. Borrowed capacity may be reclaimed,
+    // guaranteed capacity not.
+    bool may_be_preempted(NodeId holder, const Resources& need, NodeId beneficiary) const;
+    // Returns by how much a node exceeds its limit, per resource; zero for resources within the limit.
     Resources over_limit(NodeId n) const;
 
   private:
--- a/src/quota/limit_reclaim.cpp
+++ b/src/quota/limit_reclaim.cpp
@@ -1,4 +1,4 @@
-// Bringing a node down to a lowered limit.
+// Selects the tasks to preempt when a node exceeds a lowered limit.
 #include <algorithm>
 #include <tuple>
 
@@ -8,22 +8,22 @@
 namespace barrowrun::quota {
 namespace {
 
-bool is_met(const Resources& excess) {
+bool is_eliminated(const Resources& excess) {
     return std::all_of(std::begin(dimensions), std::end(dimensions),
                        [&](auto dimension) { return excess.*dimension <= amount_tolerance; });
 }
 
-// Whether stopping what needs `need` brings the excess down.
+// Returns whether preempting a candidate that holds `need` reduces the excess.
 bool reduces(const Resources& excess, const Resources& need) {
     return std::any_of(std::begin(dimensions), std::end(dimensions), [&](auto dimension) {
         return excess.*dimension > amount_tolerance && need.*dimension > 0;
     });
 }
 
-// Those within the node that may be stopped: checkpointing ones first, then the least loss.
-std::vector<std::size_t> by_preference(const Tree& tree, NodeId node,
-                                       const std::vector<PreemptionCandidate>& candidates,
-                                       bool checkpointing_only) {
+// Returns the candidates within the node in order of preemption: checkpointing ones first, then by loss.
+std::vector<std::size_t> preemption_order(const Tree& tree, NodeId node,
+                                          const std::vector<PreemptionCandidate>& candidates,
+                                          bool checkpointing_only) {
     std::vector<std::size_t> order;
     for (std::size_t i = 0; i < candidates.size(); ++i)
         if (tree.within(candidates[i].account, node) && (candidates[i].checkpoints || !checkpointing_only))
@@ -44,19 +44,20 @@
     for (auto dimension : dimensions)
         excess.*dimension = std::max(0.0, excess.*dimension - stopping.*dimension);
     std::vector<std::size_t> victims;
-    for (auto candidate : by_preference(ledger.tree(), node, candidates, checkpointing_only)) {
-        if (is_met(excess)) break;
+    for (auto candidate : preemption_order(ledger.tree(), node, candidates, checkpointing_only)) {
+        if (is_eliminated(excess)) break;
         const auto need = candidates[candidate].need();
         if (!reduces(excess, need)) continue;
         excess -= need;
         victims.push_back(candidate);
     }
-    // Those that turned out not to be needed go on, the dearest first.
+    // Victims that turned out to be unnecessary are spared, beginning with the last one selected: among
+    // victims that all checkpoint, or all do not, it has the largest loss.
     for (auto i = victims.size(); i-- > 0;) {
-        Resources without = excess;
-        without += candidates[victims[i]].need();
-        if (!is_met(without)) continue;
-        excess = without;
+        Resources excess_if_spared = excess;
+        excess_if_spared += candidates[victims[i]].need();
+        if (!is_eliminated(excess_if_spared)) continue;
+        excess = excess_if_spared;
         victims.erase(victims.begin() + static_cast<std::ptrdiff_t>(i));
     }
     return victims;
--- a/src/quota/reclaim.hpp
+++ b/src/quota/reclaim.hpp
@@ -1,11 +1,12 @@
 #pragma once
-// Which tasks yield: to give a node its guarantee, or to bring one down to a lowered limit. State -> what is
-// to be stopped; no I/O, no clock. A gang is one unit: it is stopped whole or not at all.
+// Selects the tasks to preempt, either to provide a node with its guarantee or to bring a node down to a
+// lowered limit. Pure functions of their arguments: no I/O, no clock. A gang is one candidate: it is
+// preempted as a whole or not at all.
 #include "quota/ledger.hpp"
 
 namespace barrowrun::quota {
 
-// A task that may be stopped, or a gang.
+// A single task or a whole gang that may be preempted.
 struct PreemptionCandidate {
     struct Part {
         std::uint32_t host;
@@ -13,34 +14,36 @@
     };
     std::vector<Part> parts;
     NodeId account = root;
-    double loss = 0;           // what stopping it costs, in CPU seconds or any one measure
-    bool checkpoints = false;  // it saves what it has done
+    double loss = 0;           // cost of preempting it, in CPU seconds or any other consistent unit
+    bool checkpoints = false;  // its tasks write checkpoints
     Resources need() const;
 };
 
 struct ReclaimRequest {
     NodeId account = root;
-    Resources need;  // of one task
+    Resources need;  // per task
     std::uint32_t tasks = 0;
 };
 
 struct ReclaimPlan {
-    std::vector<std::size_t> victims;       // units
-    std::vector<std::uint32_t> task_hosts;  // a host for each task that will find room
+    std::vector<std::size_t> victims;       // indices of candidates
+    std::vector<std::uint32_t> task_hosts;  // the host of each task that can be placed
     double loss = 0;
 };
 
-// Room for as many tasks of a node below its guarantee as it is entitled to, on hosts with the rooms given.
-// Nearest relatives yield first, then the least loss. Only what is borrowed yields, and no more than is
+// Plans room for as many tasks of the request as the guarantees of its account and of the account's ancestors
+// cover, on hosts with the given free capacity. The candidates nearest to the account in the quota tree are
+// preempted first, then those with the least loss. Only borrowed capacity is reclaimed, and no more than
 // needed.
-ReclaimPlan plan_guarantee_reclaim(const Ledger& ledger, const std::vector<Resources>& rooms,
-                                   const std::vector<PreemptionCandidate>& units, const ReclaimRequest& want);
+ReclaimPlan plan_guarantee_reclaim(const Ledger& ledger, const std::vector<Resources>& free_capacity,
+                                   const std::vector<PreemptionCandidate>& candidates,
+                                   const ReclaimRequest& request);
 
-// What brings `node` down to its limit: units within it that aren't being stopped yet, those that save first,
-// then the least loss. `stopping`: what those that are will free. `checkpointing_only`: others are let run
-// for now.
+// Selects candidates within `node` whose preemption brings it down to its limit: checkpointing ones first,
+// then those with the least loss. `stopping`: resources that will be freed by tasks already being stopped,
+// which are not among the candidates. `checkpointing_only`: other candidates are not preempted for now.
 std::vector<std::size_t> plan_limit_reclaim(const Ledger& ledger, NodeId node, const Resources& stopping,
-                                            const std::vector<PreemptionCandidate>& units,
+                                            const std::vector<PreemptionCandidate>& candidates,
                                             bool checkpointing_only);
 
 }  // namespace barrowrun::quota
--- a/src/quota/reclaim_planner.cpp
+++ b/src/quota/reclaim_planner.cpp
@@ -6,47 +6,50 @@
 namespace barrowrun::quota {
 namespace {
 
-// Tasks of one host that are priced: what a plan costs grows with the square of their number.
+// Bounds the tasks considered for one host: the planning time grows with the square of their number.
 constexpr std::uint32_t max_tasks_per_host = 16;
 
-// For each host, how many of the tasks go there so that all together cost least; as many tasks as can be
-// placed at all. Each host's price for so many tasks is taken by itself.
-std::vector<std::uint32_t> cheapest_shares(const std::vector<std::vector<VictimSet>>& prices,
-                                           std::uint32_t tasks) {
-    constexpr double impossible = std::numeric_limits<double>::infinity();
-    std::vector<double> least(tasks + 1, impossible);  // by number of tasks, on the hosts so far
-    least[0] = 0;
-    std::vector<std::vector<std::uint32_t>> picked(prices.size(), std::vector<std::uint32_t>(tasks + 1));
-    for (std::size_t host = 0; host < prices.size(); ++host) {
-        auto next = least;
+// Returns the number of tasks for each host that places as many tasks as possible at the least total loss.
+// The loss on each host is taken independently of the other hosts.
+std::vector<std::uint32_t> cheapest_distribution(const std::vector<std::vector<VictimSet>>& victims_by_host,
+                                                 std::uint32_t tasks) {
+    constexpr double infinite_loss = std::numeric_limits<double>::infinity();
+    std::vector<double> least_loss(tasks + 1, infinite_loss);  // by number of tasks, on the hosts so far
+    least_loss[0] = 0;
+    std::vector<std::vector<std::uint32_t>> tasks_chosen(victims_by_host.size(),
+                                                         std::vector<std::uint32_t>(tasks + 1));
+    for (std::size_t host = 0; host < victims_by_host.size(); ++host) {
+        auto next = least_loss;
         for (std::uint32_t total = 1; total <= tasks; ++total)
-            for (std::uint32_t here = 1; here <= std::min<std::size_t>(total, prices[host].size()); ++here) {
-                const double cost = least[total - here] + prices[host][here - 1].loss;
-                if (cost >= next[total]) continue;
-                next[total] = cost;
-                picked[host][total] = here;
+            for (std::uint32_t tasks_here = 1;
+                 tasks_here <= std::min<std::size_t>(total, victims_by_host[host].size()); ++tasks_here) {
+                const double loss =
+                    least_loss[total - tasks_here] + victims_by_host[host][tasks_here - 1].loss;
+                if (loss >= next[total]) continue;
+                next[total] = loss;
+                tasks_chosen[host][total] = tasks_here;
             }
-        least = std::move(next);
+        least_loss = std::move(next);
     }
-    auto left = tasks;
-    while (left > 0 && least[left] == impossible) --left;
-    std::vector<std::uint32_t> shares(prices.size());
-    for (auto host = prices.size(); host-- > 0;) {
-        shares[host] = picked[host][left];
-        left -= shares[host];
+    auto tasks_left = tasks;
+    while (tasks_left > 0 && least_loss[tasks_left] == infinite_loss) --tasks_left;
+    std::vector<std::uint32_t> tasks_by_host(victims_by_host.size());
+    for (auto host = victims_by_host.size(); host-- > 0;) {
+        tasks_by_host[host] = tasks_chosen[host][tasks_left];
+        tasks_left -= tasks_by_host[host];
     }
-    return shares;
+    return tasks_by_host;
 }
 
 }  // namespace
 
 ReclaimPlan ReclaimPlanner::plan(ReclaimStrategy strategy, const std::vector<std::size_t>& spared) {
     state_.restart(spared);
-    prices_of_one_.assign(state_.host_count(), {});
+    single_task_victims_.assign(state_.host_count(), {});
     state_.place_in_free_capacity();
     for (auto nearness : state_.nearness_classes()) {
         state_.consider(nearness);
-        if (strategy == ReclaimStrategy::cheapest_division) divide_among_hosts();
+        if (strategy == ReclaimStrategy::cheapest_distribution) distribute_among_hosts();
         while (strategy == ReclaimStrategy::best_host_first && fill_best_host()) {
         }
         while (state_.wants_more() && place_one()) {
@@ -55,33 +58,34 @@
     return state_.plan();
 }
 
-ReclaimPlanner::HostPrices ReclaimPlanner::prices_of(std::uint32_t host, std::uint32_t tasks) {
-    HostPrices prices;
+ReclaimPlanner::HostVictims ReclaimPlanner::victims_by_task_count(std::uint32_t host, std::uint32_t tasks) {
+    HostVictims victims_by_count;
     Resources need;
-    while (prices.size() < std::min(tasks, max_tasks_per_host)) {
+    while (victims_by_count.size() < std::min(tasks, max_tasks_per_host)) {
         need += state_.request().need;
-        auto price = cheapest_victims_on(state_, host, need);
-        if (!price) break;
-        prices.push_back(std::move(*price));
+        auto victims = cheapest_victims_on(state_, host, need);
+        if (!victims) break;
+        victims_by_count.push_back(std::move(*victims));
     }
-    return prices;
+    return victims_by_count;
 }
 
-void ReclaimPlanner::divide_among_hosts() {
+void ReclaimPlanner::distribute_among_hosts() {
     const ReclaimRequest& request = state_.request();
     const auto tasks = state_.remaining_tasks();
     if (tasks < 2 || !state_.ledger().admits(request.account, request.need, tasks)) return;
-    std::vector<HostPrices> prices;
-    for (std::uint32_t host = 0; host < state_.host_count(); ++host) prices.push_back(prices_of(host, tasks));
-    const auto shares = cheapest_shares(prices, tasks);
+    std::vector<HostVictims> victims_by_host;
+    for (std::uint32_t host = 0; host < state_.host_count(); ++host)
+        victims_by_host.push_back(victims_by_task_count(host, tasks));
+    const auto tasks_by_host = cheapest_distribution(victims_by_host, tasks);
     for (auto host = state_.host_count(); host-- > 0;) {
-        if (shares[host] == 0) continue;
-        const auto& victims = prices[host][shares[host] - 1].victims;
-        // Hosts were priced one by one: together their holders may not have as much to give. The rest is
-        // placed task by task.
+        if (tasks_by_host[host] == 0) continue;
+        const auto& victims = victims_by_host[host][tasks_by_host[host] - 1].victims;
+        // The victims were selected for each host separately: all of them together may exceed the amounts
+        // that their holders borrow. The remaining tasks are placed one by one.
         if (!state_.release_all(victims)) continue;
         state_.preempt(victims);
-        place_up_to(shares[host], host);
+        place_up_to(tasks_by_host[host], host);
     }
     state_.place_in_free_capacity();
 }
@@ -92,16 +96,16 @@
     if (tasks == 0 || !state_.ledger().admits(request.account, request.need, tasks)) return false;
     std::optional<VictimSet> best;
     std::uint32_t best_host = 0, best_count = 0;
-    double least_per_task = 0;
+    double least_loss_per_task = 0;
     for (std::uint32_t host = 0; host < state_.host_count(); ++host) {
-        auto prices = prices_of(host, tasks);
-        for (std::uint32_t count = 1; count <= prices.size(); ++count) {
-            const double per_task = prices[count - 1].loss / count;
-            if (best && per_task >= least_per_task) continue;
-            least_per_task = per_task;
+        auto victims_by_count = victims_by_task_count(host, tasks);
+        for (std::uint32_t count = 1; count <= victims_by_count.size(); ++count) {
+            const double loss_per_task = victims_by_count[count - 1].loss / count;
+            if (best && loss_per_task >= least_loss_per_task) continue;
+            least_loss_per_task = loss_per_task;
             best_host = host;
             best_count = count;
-            best = std::move(prices[count - 1]);
+            best = std::move(victims_by_count[count - 1]);
         }
     }
     if (!best || !state_.release_all(best->victims)) return false;
@@ -112,17 +116,17 @@
 }
 
 bool ReclaimPlanner::place_one() {
-    const auto for_limits = release_for_limits(state_);
-    if (!for_limits) return false;
-    if (!for_limits->empty()) state_.preempt(*for_limits);
-    auto host = host_with_room();
+    const auto victims_for_limits = release_for_limits(state_);
+    if (!victims_for_limits) return false;
+    if (!victims_for_limits->empty()) state_.preempt(*victims_for_limits);
+    auto host = host_with_free_capacity();
     if (!host) {
         host = cheapest_host();
-        if (!host || !state_.release_all(price_of_one(*host)->victims)) {
-            state_.undo_preempt(*for_limits);
+        if (!host || !state_.release_all(victims_for_one_task(*host)->victims)) {
+            state_.undo_preempt(*victims_for_limits);
             return false;
         }
-        const auto victims = price_of_one(*host)->victims;
+        const auto victims = victims_for_one_task(*host)->victims;
         state_.preempt(victims);
     }
     state_.place(*host);
@@ -130,7 +134,7 @@
     return true;
 }
 
-std::optional<std::uint32_t> ReclaimPlanner::host_with_room() const {
+std::optional<std::uint32_t> ReclaimPlanner::host_with_free_capacity() const {
     for (std::uint32_t host = 0; host < state_.host_count(); ++host)
         if (state_.request().need.fits(state_.free_on(host))) return host;
     return std::nullopt;
@@ -138,18 +142,18 @@
 
 std::optional<std::uint32_t> ReclaimPlanner::cheapest_host() {
     std::optional<std::uint32_t> best;
-    double least = 0;
+    double least_loss = 0;
     for (std::uint32_t host = 0; host < state_.host_count(); ++host) {
-        const auto& price = price_of_one(host);
-        if (!price || (best && price->loss >= least)) continue;
+        const auto& victims = victims_for_one_task(host);
+        if (!victims || (best && victims->loss >= least_loss)) continue;
         best = host;
-        least = price->loss;
+        least_loss = victims->loss;
     }
     return best;
 }
 
-const std::optional<VictimSet>& ReclaimPlanner::price_of_one(std::uint32_t host) {
-    CachedPrice& cached = prices_of_one_[host];
+const std::optional<VictimSet>& ReclaimPlanner::victims_for_one_task(std::uint32_t host) {
+    CachedVictims& cached = single_task_victims_[host];
     if (cached.revision != state_.revision())
         cached = {state_.revision(), cheapest_victims_on(state_, host, state_.request().need)};
     return cached.victims;
--- a/src/quota/reclaim_state.cpp
+++ b/src/quota/reclaim_state.cpp
@@ -77,8 +77,8 @@
 
 bool ReclaimState::release(std::size_t candidate) {
     const PreemptionCandidate& holder = candidates_[candidate];
-    // Only for a level that is below its guarantee and that the holder isn't in: work of one node doesn't
-    // make way for other work of the same.
+    // The preemption has to serve the guarantee of a node that does not contain the holder: a node's tasks
+    // are not preempted for other tasks of the same node.
     if (ledger_.tasks_within_guarantee(request_.account, request_.need, 1, common_ancestors_[candidate]) == 0)
         return false;
     if (!ledger_.may_be_preempted(holder.account, holder.need(), request_.account)) return false;
--- a/src/quota/reclaim_state.hpp
+++ b/src/quota/reclaim_state.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// One reclaim plan in the making: the ledger as it will be once the chosen victims are gone and the tasks are
-// placed, the free capacity of each host, and who was chosen so far.
+// A reclaim plan under construction: the ledger as it will be after the chosen victims have stopped and the
+// tasks are placed, the free capacity of each host, and the victims chosen so far.
 #include <cstdint>
 #include <vector>
 
@@ -8,16 +8,16 @@
 
 namespace barrowrun::quota {
 
-// Candidates are named by their index in the list that the state was made with. The arguments of the
-// constructor have to outlive it.
+// Candidates are identified by their index in the list passed to the constructor. The constructor's arguments
+// have to outlive the object.
 class ReclaimState {
   public:
     ReclaimState(const Ledger& ledger, const std::vector<Resources>& free_capacity,
                  const std::vector<PreemptionCandidate>& candidates, const ReclaimRequest& request);
 
-    // Back to the beginning. `spared` candidates go on in any case.
+    // Discards the plan and starts a new one, which does not preempt the candidates in `spared`.
     void restart(const std::vector<std::size_t>& spared);
-    // From now on only candidates at least as near to the account are considered.
+    // From now on, only candidates of at least this nearness to the account are available.
     void consider(std::uint32_t nearness);
 
     const ReclaimRequest& request() const { return request_; }
@@ -27,38 +27,39 @@
     const Resources& free_on(std::uint32_t host) const { return free_[host]; }
     const Ledger& ledger() const { return ledger_; }
     const ReclaimPlan& plan() const { return plan_; }
-    // Changes whenever free capacity, victims or the nearness considered do.
+    // Changes whenever the free capacity, the victims or the required nearness change.
     std::uint64_t revision() const { return revision_; }
 
-    // How near relatives candidates are, each value once, the nearest first: the depth of the deepest node
-    // that holds both the candidate and the account.
+    // The distinct nearness values of the candidates, the nearest first. The nearness of a candidate is the
+    // depth of the lowest common ancestor of its account and the request's account.
     const std::vector<std::uint32_t>& nearness_classes() const { return nearness_classes_; }
-    // Whether `a` is stopped rather than `b`: the nearer relative, then the lesser loss.
+    // Returns whether `a` is preempted in preference to `b`: the nearer one, then the one with less loss.
     bool precedes(std::size_t a, std::size_t b) const;
-    // Neither a victim nor spared, and near enough.
+    // Returns whether the candidate is neither a victim nor spared, and has the required nearness.
     bool available(std::size_t candidate) const;
-    // Those with a part on the host, in the order of precedes().
+    // Returns the available candidates with a part on the host, in the order of precedes().
     std::vector<std::size_t> available_on(std::uint32_t host) const;
     Resources need_on(std::size_t candidate, std::uint32_t host) const;
 
-    // Whether the account is entitled to one task more and wants it.
+    // Returns whether the request asks for one more task and a guarantee covers it.
     bool wants_more() const;
-    // Tasks that are still wanted and covered by a guarantee.
+    // Returns the number of requested tasks that are not placed yet and that a guarantee covers.
     std::uint32_t remaining_tasks() const;
 
-    // Takes a candidate out of the ledger, and out of the ledger only. False: it may not be stopped for this
-    // account as things stand; then nothing has changed.
+    // Removes a candidate from the ledger without making it a victim. Returns false and changes nothing if it
+    // may not be preempted for the request's account in the current state.
     bool release(std::size_t candidate);
     void restore(std::size_t candidate);
-    // All of them or none.
+    // Releases all of the candidates or none of them.
     bool release_all(const std::vector<std::size_t>& candidates);
-    // Released candidates become victims, and their capacity is free.
+    // Makes released candidates victims and adds their resources to the free capacity.
     void preempt(const std::vector<std::size_t>& released);
-    // The most recent victims go on after all, and are charged again.
+    // Reverts preempt() for the most recent victims and charges them to the ledger again.
     void undo_preempt(const std::vector<std::size_t>& latest);
 
     void place(std::uint32_t host);
-    // Capacity that is there, or that a gang's other parts have left, costs nothing.
+    // Places tasks on capacity that is already free, or that the other parts of a preempted gang leave free:
+    // this causes no loss.
     void place_in_free_capacity();
 
   private:
@@ -66,14 +67,14 @@
     const std::vector<Resources>& initial_free_;
     const std::vector<PreemptionCandidate>& candidates_;
     const ReclaimRequest& request_;
-    std::vector<NodeId> common_ancestors_;  // of candidate and account, by candidate
-    std::vector<std::uint32_t> nearness_;   // depth of these
+    std::vector<NodeId> common_ancestors_;  // of the candidate's and the request's account, by candidate
+    std::vector<std::uint32_t> nearness_;   // depth of common_ancestors_, by candidate
     std::vector<std::uint32_t> nearness_classes_;
     std::vector<std::vector<std::size_t>> candidates_on_;  // by host
 
     Ledger ledger_;
     std::vector<Resources> free_;    // by host
-    std::vector<char> unavailable_;  // by candidate: victim or spared
+    std::vector<char> unavailable_;  // by candidate: is a victim or spared
     std::uint32_t min_nearness_ = 0;
     std::uint64_t revision_ = 0;
     ReclaimPlan plan_;
--- a/src/quota/tolerance.hpp
+++ b/src/quota/tolerance.hpp
@@ -2,7 +2,7 @@
 
 namespace barrowrun::quota {
 
-/// Sums of decimal amounts drift: differences of CPUs, GPUs or GB up to this are none.
+/// Differences of up to this many CPUs, GPUs or GB count as none, because sums of decimal amounts drift.
 inline constexpr double amount_tolerance = 1e-6;
 
 }  // namespace barrowrun::quota
--- a/src/quota/tree.cpp
+++ b/src/quota/tree.cpp
@@ -29,9 +29,9 @@
     tree->nodes_ = std::move(parts.nodes);
     tree->by_path_ = std::move(parts.by_path);
     tree->by_team_ = std::move(parts.by_team);
-    tree->guaranteed_ = std::move(parts.guaranteed);
-    tree->limits_ = parts.has_limits;
-    tree->guarantees_ = parts.deepest_guarantee;
+    tree->guaranteed_nodes_ = std::move(parts.guaranteed);
+    tree->has_limits_ = parts.has_limits;
+    tree->deepest_guarantee_ = parts.deepest_guarantee;
     result.tree = std::move(tree);
     return result;
 }
--- a/src/quota/tree_builder.cpp
+++ b/src/quota/tree_builder.cpp
@@ -11,13 +11,14 @@
 namespace barrowrun::quota {
 namespace {
 
-constexpr double max_amount = 1e9;  // of CPUs, GPUs or GB: far above any site, and still exact in messages
+// CPUs, GPUs or GB: far above any site, and still printed exactly in messages.
+constexpr double max_amount = 1e9;
 
 struct NodeAmount {
     std::optional<double> limit, guarantee;
 };
 
-// Builds one tree, then is thrown away. Goes on after an error, so that an operator sees all at once.
+// Builds a single tree. Continues after an error, so that an operator sees all errors at once.
 class TreeBuilder {
   public:
     TreeBuilder(std::vector<QuotaEntry> entries, const std::vector<TeamQuota>& teams,
@@ -44,9 +45,11 @@
     }
 
   private:
-    void report(const std::string& path, std::string what) { add_error(errors_, path, std::move(what)); }
+    void report(const std::string& path, std::string message) {
+        add_error(errors_, path, std::move(message));
+    }
 
-    // Each team that an entry names has to be the platform's, and is named once.
+    // Checks that each team named by an operator's entry is a platform team and is named only once.
     void check_teams() {
         for (std::size_t i = 0; i < operator_entry_count_; ++i) {
             const QuotaEntry& entry = entries_[i];
@@ -63,7 +66,7 @@
         }
     }
 
-    // Teams that no entry names stand at the top, with the platform's amounts.
+    // Adds a top-level entry, with the platform's amounts, for each platform team that no entry names.
     void append_unlisted_teams() {
         for (auto& team : teams_)
             if (entry_by_team_.try_emplace(team.name, entries_.size()).second)
@@ -92,7 +95,7 @@
         children_guarantees_.emplace_back();
     }
 
-    // The node of an entry with its place in the tree, without amounts.
+    // Returns the node of an entry with its position in the tree, but without limits and guarantees.
     Node positioned_node(std::size_t index) const {
         const QuotaEntry& entry = entries_[index];
         const auto parent_entry = hierarchy_.parents[index];
@@ -107,7 +110,7 @@
         return node;
     }
 
-    // Also enters the node's path and team into the tree's maps.
+    // Checks depth, path and team of a node, and registers its path and team in the tree's maps.
     void check_position(const Node& node, NodeId id) {
         if (node.depth > max_depth)
             report(node.path, fmt::format("{} levels: expected at most {}", node.depth, max_depth));
@@ -139,14 +142,15 @@
         children_guarantees_[node.parent].*resource += guarantee;
     }
 
-    void check_range(const Node& node, std::size_t dimension, const char* what, std::optional<double> value) {
+    void check_range(const Node& node, std::size_t dimension, const char* field,
+                     std::optional<double> value) {
         if (value && (!std::isfinite(*value) || *value < 0 || *value > max_amount))
-            report(node.path, fmt::format("{}.{}: expected a number from 0 to {:.0f}", what,
+            report(node.path, fmt::format("{}.{}: expected a number from 0 to {:.0f}", field,
                                           dimension_names[dimension], max_amount));
     }
 
-    // The platform's amounts of a team hold where an operator gives none; an operator may be stricter with
-    // the limit and more generous with the guarantee, not the other way round.
+    // Applies the platform's amounts of a team where the operator specifies none. An operator may set a lower
+    // limit and a higher guarantee than the platform, but not a higher limit or a lower guarantee.
     void apply_platform_amounts(const Node& node, std::size_t dimension, NodeAmount& amount) {
         if (node.team.empty()) return;
         const auto team = team_by_name_.find(node.team);
@@ -166,7 +170,7 @@
         if (!amount.guarantee) amount.guarantee = platform.guarantee;
     }
 
-    // Only the nearest ancestor with a limit counts: it was itself checked against those above it.
+    // Checks against the nearest ancestor with a limit only: that limit was checked against those above it.
     void check_against_limit_above(const Node& node, std::size_t dimension, std::optional<double> own_limit) {
         const auto resource = dimensions[dimension];
         NodeId ancestor = node.parent;
@@ -198,14 +202,14 @@
             }
     }
 
-    std::vector<QuotaEntry> entries_;  // the operator's, then the teams that these don't name
+    std::vector<QuotaEntry> entries_;  // the operator's entries, then those added for platform teams
     const std::size_t operator_entry_count_;
     const std::vector<TeamQuota>& teams_;
     std::unordered_map<std::string, const TeamQuota*> team_by_name_;
     std::unordered_map<std::string, std::size_t> entry_by_team_;
     EntryHierarchy hierarchy_;
     std::vector<NodeId> node_by_entry_;
-    std::vector<Resources> children_guarantees_;  // by node: the sum over its children
+    std::vector<Resources> children_guarantees_;  // sum of the guarantees of a node's children, by node
     TreeParts tree_;
     std::vector<ValidationError>& errors_;
 };
--- a/src/quota/tree_builder.hpp
+++ b/src/quota/tree_builder.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// What a tree consists of, made from the entries of an operator and the platform's teams, and checked.
-/// Used by Tree::build alone.
+/// Builds and validates the parts of a quota tree from an operator's entries and the platform's teams.
+/// Used by Tree::build only.
 #include <string>
 #include <unordered_map>
 #include <vector>
@@ -16,10 +16,10 @@
     std::unordered_map<std::string, NodeId> by_team;
     std::vector<NodeId> guaranteed;  ///< nodes with a guarantee
     bool has_limits = false;
-    std::uint32_t deepest_guarantee = 0;  ///< depth; 0: none
+    std::uint32_t deepest_guarantee = 0;  ///< depth; 0 if there is none
 };
 
-/// Appends every error that it finds, not the first alone. With errors the result is of no use.
+/// Appends all errors, not only the first. The result must not be used if there are errors.
 TreeParts build_tree_parts(std::vector<QuotaEntry> entries, const std::vector<TeamQuota>& teams,
                            std::vector<ValidationError>& errors);
 
--- a/src/quota/validation.cpp
+++ b/src/quota/validation.cpp
@@ -15,8 +15,8 @@
     return fmt::format("{:.10g}", number);
 }
 
-void add_error(std::vector<ValidationError>& errors, const std::string& path, std::string what) {
-    errors.push_back({path.empty() ? "the tree" : path, std::move(what)});
+void add_error(std::vector<ValidationError>& errors, const std::string& path, std::string message) {
+    errors.push_back({path.empty() ? "the tree" : path, std::move(message)});
 }
 
 }  // namespace barrowrun::quota
--- a/src/quota/validation.hpp
+++ b/src/quota/validation.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Shared by the steps that check a quota tree: how names and numbers appear in the messages for operators.
+// Formats names and numbers in the error messages about quota trees, which operators read.
 #include <string>
 #include <utility>
 #include <vector>
@@ -8,11 +8,11 @@
 
 namespace barrowrun::quota {
 
-// `text` as one line of printable ASCII of bounded length, whatever bytes an operator's file holds.
+// Returns `text` as one line of printable ASCII of bounded length: an operator's file may hold any bytes.
 std::string printable(const std::string& text);
-// Up to ten significant digits, without trailing zeros.
+// Formats a number with up to ten significant digits, without trailing zeros.
 std::string number_text(double number);
-// Appends an error; an empty path means the tree as a whole.
-void add_error(std::vector<ValidationError>& errors, const std::string& path, std::string what);
+// Appends an error. An empty path denotes the whole tree.
+void add_error(std::vector<ValidationError>& errors, const std::string& path, std::string message);
 
 }  // namespace barrowrun::quota
--- a/src/quota/victim_search.cpp
+++ b/src/quota/victim_search.cpp
@@ -6,14 +6,14 @@
 namespace barrowrun::quota {
 namespace {
 
-// Candidates of a host up to which every choice among them is weighed: 2^10 choices at most.
+// Largest number of candidates on a host for which all subsets are searched: at most 2^10 subsets.
 constexpr std::size_t max_exact_candidates = 10;
-// Bounds the search among the candidates of all hosts, to some milliseconds.
+// Bounds the search over the candidates of all hosts to a few milliseconds.
 constexpr int max_search_steps = 20'000;
-// What a plan has to cost less to count as cheaper, against rounding.
+// A plan counts as cheaper only if its loss is smaller by more than this, to allow for rounding.
 constexpr double loss_tolerance = 1e-9;
 
-// Every choice among a host's candidates.
+// Finds the cheapest victims on one host by branch and bound over all subsets of its candidates.
 class HostSearch {
   public:
     HostSearch(ReclaimState& state, std::uint32_t host, const Resources& need,
@@ -26,7 +26,7 @@
     }
 
   private:
-    // `next`: the first candidate that isn't decided on yet.
+    // `next`: position of the first undecided candidate.
     void descend(std::size_t next, const Resources& free, double loss) {
         if (best_ && loss >= best_->loss) return;
         if (need_.fits(free)) {
@@ -36,10 +36,10 @@
         if (next == candidates_.size()) return;
         const auto candidate = candidates_[next];
         if (state_.release(candidate)) {
-            Resources more = free;
-            more += state_.need_on(candidate, host_);
+            Resources free_after_preemption = free;
+            free_after_preemption += state_.need_on(candidate, host_);
             chosen_.push_back(candidate);
-            descend(next + 1, more, loss + state_.candidate(candidate).loss);
+            descend(next + 1, free_after_preemption, loss + state_.candidate(candidate).loss);
             chosen_.pop_back();
             state_.restore(candidate);
         }
@@ -54,7 +54,8 @@
     std::optional<VictimSet> best_;
 };
 
-// By preference, until the need fits; then without the dearest that aren't needed after all.
+// Takes candidates in order of preference until the need fits, then spares the unnecessary ones, beginning
+// with the costliest.
 std::optional<VictimSet> greedy_victims(ReclaimState& state, std::uint32_t host, const Resources& need,
                                         const std::vector<std::size_t>& candidates) {
     VictimSet chosen;
@@ -68,14 +69,14 @@
     }
     const bool found = need.fits(free);
     if (found) {
-        auto dearest_first = chosen.victims;
-        std::stable_sort(dearest_first.begin(), dearest_first.end(),
+        auto costliest_first = chosen.victims;
+        std::stable_sort(costliest_first.begin(), costliest_first.end(),
                          [&](auto a, auto b) { return state.candidate(a).loss > state.candidate(b).loss; });
-        for (auto candidate : dearest_first) {
-            Resources without = free;
-            without -= state.need_on(candidate, host);
-            if (!need.fits(without)) continue;
-            free = without;
+        for (auto candidate : costliest_first) {
+            Resources free_if_spared = free;
+            free_if_spared -= state.need_on(candidate, host);
+            if (!need.fits(free_if_spared)) continue;
+            free = free_if_spared;
             chosen.loss -= state.candidate(candidate).loss;
             state.restore(candidate);
             std::erase(chosen.victims, candidate);
@@ -86,7 +87,7 @@
     return chosen;
 }
 
-// Every choice among the candidates of all hosts.
+// Branch and bound over all subsets of the candidates of all hosts.
 class FullSearch {
   public:
     FullSearch(ReclaimState& state, ReclaimPlan& best)
@@ -121,13 +122,13 @@
         descend(next + 1, loss);
     }
 
-    // A host for each task that fits, first host first, up to as many as are wanted.
+    // Sets `hosts_` to a host for each task that fits, in host order, up to the number of tasks of the plan.
     void find_hosts() {
         const Resources& need = state_.request().need;
         hosts_.clear();
         for (std::uint32_t host = 0; host < free_.size(); ++host) {
-            Resources left = free_[host];
-            for (; hosts_.size() < tasks_ && need.fits(left); left -= need) hosts_.push_back(host);
+            Resources remaining = free_[host];
+            for (; hosts_.size() < tasks_ && need.fits(remaining); remaining -= need) hosts_.push_back(host);
         }
     }
 
@@ -141,12 +142,14 @@
     int steps_left_ = max_search_steps;
 };
 
-// The preferred candidate within a full node that may be stopped, and isn't chosen yet.
-std::optional<std::size_t> preferred_within(ReclaimState& state, NodeId full,
-                                            const std::vector<std::size_t>& chosen) {
+// Returns the preferred candidate that may be preempted among those within a node whose limit is exhausted
+// and that are not chosen yet.
+std::optional<std::size_t> preferred_candidate_within(ReclaimState& state, NodeId exhausted,
+                                                      const std::vector<std::size_t>& chosen) {
     std::optional<std::size_t> best;
     for (std::size_t i = 0; i < state.candidate_count(); ++i) {
-        if (!state.available(i) || !state.ledger().tree().within(state.candidate(i).account, full)) continue;
+        if (!state.available(i) || !state.ledger().tree().within(state.candidate(i).account, exhausted))
+            continue;
         if (std::find(chosen.begin(), chosen.end(), i) != chosen.end()) continue;
         if (best && !state.precedes(i, *best)) continue;
         if (!state.release(i)) continue;
@@ -169,8 +172,8 @@
 std::optional<std::vector<std::size_t>> release_for_limits(ReclaimState& state) {
     const ReclaimRequest& request = state.request();
     std::vector<std::size_t> chosen;
-    while (const auto full = state.ledger().first_exceeded_limit(request.account, request.need)) {
-        const auto best = preferred_within(state, *full, chosen);
+    while (const auto exhausted = state.ledger().first_exceeded_limit(request.account, request.need)) {
+        const auto best = preferred_candidate_within(state, *exhausted, chosen);
         if (!best) {
             for (auto candidate : chosen) state.restore(candidate);
             return std::nullopt;
--- a/src/quota/victim_search.hpp
+++ b/src/quota/victim_search.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Which candidates are stopped for so much capacity on one host, for room within limits, or on all hosts at
-// once. Each search leaves the state's plan and free capacity as they were.
+// Searches for the candidates to preempt: for an amount of capacity on one host, for room within limits, or
+// over all hosts at once.
 #include <optional>
 #include <vector>
 
@@ -13,19 +13,20 @@
     std::vector<std::size_t> victims;
 };
 
-// The cheapest candidates whose end makes `need` fit on the host: exact while there are few, else greedy and
-// then without those that turn out not to be needed. Nothing: it can't be made to fit. The ledger is left as
-// it was.
+// Returns the victims with the least loss whose preemption makes `need` fit on the host; nothing if it cannot
+// be made to fit. The search is exact for few candidates; for more it is greedy, and spares victims that turn
+// out to be unnecessary. Leaves the state unchanged.
 std::optional<VictimSet> cheapest_victims_on(ReclaimState& state, std::uint32_t host, const Resources& need);
 
-// A limit that others have filled with what they borrow is met by those who are within it, wherever they run.
-// Those chosen stay released in the ledger; none need be if no limit is full. Nothing: some limit can't be
-// met, and the ledger is as it was.
+// Selects victims so that one more task fits within the limits of the request's account and its ancestors:
+// for each exhausted limit, borrowing candidates within its node, on any host. Returns an empty list if no
+// limit is exhausted. The victims stay released in the ledger; the state is otherwise unchanged. Returns
+// nothing, with the ledger unchanged, if some limit leaves no room.
 std::optional<std::vector<std::size_t>> release_for_limits(ReclaimState& state);
 
-// Replaces `best` by a plan that makes the same room at less loss if one is found within a bound of steps.
-// Only where all candidates are equally near relatives: else a nearer one would be spared for a stranger.
-// Restarts the state.
+// Replaces `best` by a plan for the same number of tasks at less loss, if one is found within a bounded
+// number of steps. Does nothing unless all candidates are equally near to the account: otherwise the search
+// might spare a nearer candidate and preempt a more distant one. Restarts the state.
 void improve_by_full_search(ReclaimState& state, ReclaimPlan& best);
 
 }  // namespace barrowrun::quota
