--- a/tests/quota_tree_test.cpp
+++ b/tests/quota_tree_test.cpp
@@ -1,4 +1,4 @@
-// Quota trees: what is wrong with one is said with its place, and jobs find their account.
+// Tests of quota::Tree: validation errors and the accounts of jobs.
 #include <gtest/gtest.h>
 
 #include "quota_builders.hpp"
@@ -8,7 +8,8 @@
 
 namespace {
 
-// The first thing that is said about it, wherever that is found out.
+// Returns the first error of a tree, from the schema check or from Tree::build; empty if the tree is valid.
+// Nodes that start with '!' are the text of a whole file.
 std::string first_error(const std::string& nodes) {
     try {
         auto built = Tree::build(config::parse_quotas_text(
@@ -23,9 +24,9 @@
 
 }  // namespace
 
-TEST(QuotaTree, EveryValidationErrorNamesItsPath) {
+TEST(QuotaTree, EachValidationErrorNamesTheInvalidNodeOrField) {
     struct {
-        const char *nodes, *said;
+        const char *nodes, *expected_text;
     } cases[] = {
         {R"!({"name":""})!", "nodes"},
         {R"!({"name":"a/b"})!", "a/b: expected a name of 1 to 40 letters"},
@@ -93,28 +94,29 @@
         {R"!(!{"nodes":[],"shrink":1})!", "shrink"},
     };
     static_assert(std::size(cases) >= 40);
-    for (auto& c : cases)
-        EXPECT_NE(first_error(c.nodes).find(c.said), std::string::npos)
-            << c.nodes << "\n  said: " << first_error(c.nodes);
+    for (auto& test_case : cases)
+        EXPECT_NE(first_error(test_case.nodes).find(test_case.expected_text), std::string::npos)
+            << test_case.nodes << "\n  actual error: " << first_error(test_case.nodes);
 }
 
-TEST(QuotaTree, PathsNamesAndAccounts) {
-    auto t =
+TEST(QuotaTree, ProjectsAreFoundByPathAndJobsAreChargedToTheNearestExistingNode) {
+    auto tree =
         build_tree(R"({"name":"bureau","guarantee":{"cpus":20}},{"name":"crew","in":"bureau","team":"crew"},
         {"name":"slips","in":"crew","limit":{"cpus":8}},{"name":"night","in":"bureau/crew/slips"})");
-    ASSERT_TRUE(t);
-    auto night = t->find_project("crew", "slips/night");
+    ASSERT_TRUE(tree);
+    auto night = tree->find_project("crew", "slips/night");
     ASSERT_TRUE(night);
-    EXPECT_EQ(t->node(*night).path, "bureau/crew/slips/night");
-    EXPECT_FALSE(t->find_project("crew", "slips/day"));
-    // What there is not is charged to the nearest above: a node that is dropped leaves no job without an
-    // account.
-    EXPECT_EQ(t->node(*t->account_for("crew", "slips/day")).path, "bureau/crew/slips");
-    EXPECT_EQ(t->node(*t->account_for("crew", "x/y/z")).path, "bureau/crew");
-    EXPECT_FALSE(t->account_for("ghost", ""));
-    EXPECT_EQ(t->node(*t->account_for("desk", "")).path, "desk")
-        << "a team that no line names stands at the top";
-    EXPECT_EQ(t->node(*t->account_for("crew", "")).limit.cpus, 100) << "the platform's limit holds";
-    EXPECT_EQ(t->lowest_common_ancestor(*night, *t->find_by_path("bureau")), *t->find_by_path("bureau"));
-    EXPECT_EQ(t->lowest_common_ancestor(*night, *t->find_by_path("desk")), root);
+    EXPECT_EQ(tree->node(*night).path, "bureau/crew/slips/night");
+    EXPECT_FALSE(tree->find_project("crew", "slips/day"));
+    // A project that does not exist is charged to its nearest existing ancestor, so that removing a node
+    // leaves no job without an account.
+    EXPECT_EQ(tree->node(*tree->account_for("crew", "slips/day")).path, "bureau/crew/slips");
+    EXPECT_EQ(tree->node(*tree->account_for("crew", "x/y/z")).path, "bureau/crew");
+    EXPECT_FALSE(tree->account_for("ghost", ""));
+    EXPECT_EQ(tree->node(*tree->account_for("desk", "")).path, "desk")
+        << "a team that no entry names becomes a top-level node";
+    EXPECT_EQ(tree->node(*tree->account_for("crew", "")).limit.cpus, 100) << "the platform's limit applies";
+    EXPECT_EQ(tree->lowest_common_ancestor(*night, *tree->find_by_path("bureau")),
+              *tree->find_by_path("bureau"));
+    EXPECT_EQ(tree->lowest_common_ancestor(*night, *tree->find_by_path("desk")), root);
 }
