--- a/src/api/cell_delegations.hpp
+++ b/src/api/cell_delegations.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// A leader's part with other cells: what it delegates to them and executes for them, as the records and
-// answers say.
+// Delegations between cells: shards of jobs that this cell delegates to other cells as their origin cell, and
+// shards that it runs for other cells as their executor cell.
 #include <map>
 #include <memory>
 #include <utility>
@@ -14,7 +14,8 @@
 
 namespace barrowrun::api {
 
-// All of it belongs to one term. What it wants done of the leader stands in `Host`.
+// Drives the delegation state machines (src/cells) of one term: records, requests to other cells and their
+// requests to this one. `Host` connects it to the leader.
 class CellDelegations {
   public:
     using Json = wire::Json;
@@ -23,48 +24,56 @@
         state::StateClient& state;
         net::HttpClient& nodes;
         std::function<bool()> may_act;
-        std::function<void()> wake_writes, wake_places;
-        std::function<void(std::string, net::Task<>)> spawn;  // ends with the term
+        std::function<void()> wake_writes, wake_placement;
+        std::function<void(std::string, net::Task<>)> spawn;  // starts a coroutine that ends with the term
         std::chrono::milliseconds max_clock_error;
-        // A cancelled job's tasks are gone within this; and how long after it was cancelled the last answer
-        // that renews a lease of a machine that may hold one of them may be given, so that this holds.
-        std::chrono::milliseconds gone_within, renewed_within;
+        // After a cancellation, the job's tasks are gone from all machines within `max_cancellation_time`.
+        // For this, the lease of a machine that may hold one of them is last renewed within `renewal_period`.
+        std::chrono::milliseconds max_cancellation_time, renewal_period;
     };
     CellDelegations(const cells::Settings& settings, Host host);
-    // Reads the records of shards. False: not now. Before any other.
+    // Reads the delegation records. Called before any other records are read. False: not possible now, to be
+    // repeated.
     net::Task<bool> read_records();
-    // Takes them over. False: not now. Before anything is started.
+    // Restores the delegations from these records. Called before any task is started. False: not possible
+    // now, to be repeated.
     net::Task<bool> recover(TimePoint now, std::int64_t wall_ms);
-    // Whether a heartbeat may be answered, which renews the worker's lease: what a shard with a deadline may
-    // have on the machine must be gone in time. `m`: absent while the records are being read.
-    bool may_renew(const wire::WorkerHeartbeat& heartbeat, const fleet::Machine* m) const;
-    // Once a second or so: spills, sends again what has no answer, asks for what is done.
+    // Whether a heartbeat may be answered. The answer renews the worker's lease, and tasks of a shard must be
+    // gone from the machine before the shard's deadline. `machine`: null while the records are being read.
+    bool may_renew(const wire::WorkerHeartbeat& heartbeat, const fleet::Machine* machine) const;
+    // Loop, twice a second: offers waiting tasks to other cells, repeats requests without a reply, and
+    // collects results.
     net::Task<> run();
-    // Stops what must be gone before long. Before every round, the first above all: leaders that follow each
-    // other faster than `loop` looks started tasks of a shard whose end was over.
+    // Stops shards whose deadline is near. Called before every scheduling round, and above all before the
+    // first one: when leaders succeeded each other faster than `run` checks deadlines, they started tasks of
+    // a shard after its deadline.
     void stop_before_deadlines();
-    // Another cell's request: an offer or a recall.
+    // Handles another cell's request, which is an offer or a recall.
     net::Task<net::Response> handle_request(cells::DelegationRequest request);
+    // A summary of this cell's free capacity, for other cells.
     wire::Json capacity_digest();
 
   private:
-    struct Delegated {
+    // A shard that this cell has delegated as the origin cell. Kept until its job is over, also once its
+    // epoch is closed.
+    struct DelegatedShard {
         std::string to;
         cells::DelegationOrigin origin;
-        bool writing = false, asking = false;
-        bool awaiting_first_reply = false;  // offered in this term, and nothing was heard of it yet
+        bool write_in_flight = false, request_in_flight = false;
+        bool awaiting_first_reply = false;  // offered in this term, the executor has not replied yet
         TimePoint last_request{};
     };
-    struct Executing {
+    // A shard that this cell runs as the executor cell, or whose epoch it has closed.
+    struct ExecutedShard {
         std::string owner;
         wire::JobSpec spec;
         std::int64_t accepted_ms = 0;
         cells::DelegationExecutor executor;
-        bool writing = false;
+        bool write_in_flight = false;
     };
     void offload_waiting_tasks(TimePoint now);
     void advance(const std::string& job, TimePoint now);
-    net::Task<> exchange(std::string job);
+    net::Task<> send_request(std::string job);
     void write_executor_record(const std::string& job);
     void on_executor_recorded(const std::string& job, const cells::ExecutorRecord& record);
     void collect_executed_changes();
@@ -72,28 +81,29 @@
     const cells::PeerCell* peer_cell(const std::string& name) const;
     const std::string& node_of(const std::string& cell);
     std::optional<DayTime> deadline_for(const std::string& job_class) const;
-    // How long before its end a shard must be told to stop here.
+    // How long before its deadline a shard is stopped here.
     std::chrono::milliseconds stop_ahead() const {
-        return host_.gone_within + 2 * host_.max_clock_error + slack;
+        return host_.max_cancellation_time + 2 * host_.max_clock_error + stop_margin;
     }
     DayTime stop_by(DayTime deadline) const { return deadline - stop_ahead(); }
     void stop_executing(const std::string& job);
 
-    static constexpr std::chrono::seconds slack{2};  // until the next look, and a takeover's records are read
+    // Covers the time until the next check of deadlines, and the recovery of a new leader.
+    static constexpr std::chrono::seconds stop_margin{2};
 
     const cells::Settings& settings_;
     Host host_;
     cells::OffloadPlanner offload_planner_;
-    std::map<std::string, Delegated> delegated_;
-    std::map<std::string, Executing> executing_;
-    // As read, until they are taken over; and the first end among those held, of one that can't be read: long
-    // ago.
+    std::map<std::string, DelegatedShard> delegated_;
+    std::map<std::string, ExecutedShard> executing_;
+    // Records as read, until `recover` restores them, and the earliest deadline of the executor records. A
+    // record that can't be read counts as one whose deadline has passed.
     state::Listing origin_listing_;
     std::vector<std::pair<std::string, std::optional<cells::StoredExecutor>>> executor_records_;
     std::optional<DayTime> earliest_deadline_;
-    Json digest_;
-    TimePoint digest_made_{};
-    std::map<std::string, std::size_t> node_;  // which of a cell's nodes answered last
+    Json digest_;  // last answer of `capacity_digest`
+    TimePoint digest_time_{};
+    std::map<std::string, std::size_t> node_index_;  // by cell: the node that requests are sent to
 };
 
 }  // namespace barrowrun::api
--- a/src/api/command_dispatcher.cpp
+++ b/src/api/command_dispatcher.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 constexpr std::chrono::milliseconds command_deadline{1500}, status_deadline{1000};
-// A kill without an effect is sent again after so long.
+// A kill command is sent again after this time if the task has not exited.
 constexpr std::chrono::milliseconds kill_repeat_interval{1200};
-// What comes up while a dispatch is in flight goes with the next, so many times at most.
+// Most requests of one dispatch: commands that become pending during a request are sent with the next one.
 constexpr int max_rounds = 5;
 
 bool launch_ready(const fleet::Machine& machine) {
@@ -40,31 +40,32 @@
             machine->address.empty() || machine->returning)
             continue;
         if (launch_ready(*machine) || kill_due(*machine, now))
-            host_.spawn("push " + name, dispatch(name, Purpose::commands));
+            host_.spawn("command push to machine " + name, dispatch(name, Purpose::commands));
     }
 }
 
 void CommandDispatcher::fence(const std::string& machine) {
-    host_.spawn("fence " + machine, dispatch(machine, Purpose::fence));
+    host_.spawn("fencing of machine " + machine, dispatch(machine, Purpose::fence));
 }
 
 void CommandDispatcher::fence_all(std::deque<std::string> machines, int at_once) {
     auto shared = std::make_shared<std::deque<std::string>>(std::move(machines));
-    for (int i = 0; i < at_once; ++i) host_.spawn("fences", fence_known_workers(shared));
+    for (int i = 0; i < at_once; ++i) host_.spawn("fencing of known workers", fence_known_workers(shared));
 }
 
 Task<> CommandDispatcher::fence_known_workers(std::shared_ptr<std::deque<std::string>> machines) {
     while (!machines->empty()) {
         auto name = std::move(machines->front());
         machines->pop_front();
-        // One that has reported to us by now knows our token.
+        // A machine that has sent a heartbeat to this leader in the meantime has seen its fencing token.
         auto* machine = host_.cluster.find_machine(name);
         if (machine && !(machine->up && machine->fencing_token_seen >= host_.cluster.fencing_token()))
             co_await dispatch(name, Purpose::fence);
     }
 }
 
-// During the call the machine may go, report by itself, or be given other work; leadership may be lost.
+// During the request the machine may be removed, send a heartbeat, or be assigned other tasks, and leadership
+// may be lost.
 Task<> CommandDispatcher::dispatch(std::string name, Purpose purpose) {
     auto& cluster = host_.cluster;
     for (int round = 0; round < max_rounds; ++round) {
@@ -93,43 +94,50 @@
         const bool executed = reply.status == 200;
         const bool may_execute = reply.status == 0 && reply.may_execute;
         cluster.push_answered(*machine, commands, fencing_token, executed, may_execute, now);
-        const auto next = handle_answer(*machine, reply, agent_epoch, now);
-        if (next == Next::done) co_return;
-        if (next == Next::look_for_more) purpose = Purpose::commands;
+        const auto next = handle_response(*machine, reply, agent_epoch, now);
+        if (next == NextStep::done) co_return;
+        if (next == NextStep::check_for_more) purpose = Purpose::commands;
         if (purpose == Purpose::fence) continue;
-        // Only if there is something new to send.
+        // Another request is needed only if a launch became ready during this one.
         machine = cluster.find_machine(name);
         if (!machine || !launch_ready(*machine)) co_return;
     }
 }
 
-CommandDispatcher::Next CommandDispatcher::handle_answer(fleet::Machine& machine, const net::Reply& reply,
-                                                         std::uint64_t sent_agent_epoch, TimePoint now) {
+CommandDispatcher::NextStep CommandDispatcher::handle_response(fleet::Machine& machine,
+                                                               const net::Reply& reply,
+                                                               std::uint64_t sent_agent_epoch,
+                                                               TimePoint now) {
     const bool executed = reply.status == 200, refused = reply.status == 409;
     if (!executed && !refused) {
-        if (machine.push_reachable) spdlog::info("machine {} does not answer at its address", machine.name);
+        if (machine.push_reachable)
+            spdlog::info("machine {}: no response at its address, commands wait for its heartbeats",
+                         machine.name);
         machine.push_reachable = false;
         machine.probed = now;
-        return Next::done;
+        return NextStep::done;
     }
     machine.push_reachable = true;
     host_.worker_answered(now);
-    auto next = Next::done;
+    auto next = NextStep::done;
     auto heartbeat = wire::parse_worker_heartbeat(reply.body);
     if (heartbeat && heartbeat->machine == machine.name) {
         host_.cluster.on_heartbeat(*heartbeat, false, now);
-        // Refused for the token: another leads. Refused for its agent epoch: once more with the right one.
+        // The worker refuses an outdated fencing token if another node leads by now. It also refuses an
+        // outdated agent epoch: the request is then repeated with the current one.
         if (refused && heartbeat->fencing_token > services_.election.fencing_token()) {
-            spdlog::warn("machine {} knows a newer token: {}", heartbeat->machine, heartbeat->fencing_token);
+            spdlog::warn("machine {}: its worker has seen the newer fencing token {}, another node may lead",
+                         heartbeat->machine, heartbeat->fencing_token);
             services_.election.suspect_lost_leadership();
-            return Next::done;
+            return NextStep::done;
         }
         if (executed)
-            next = Next::look_for_more;
+            next = NextStep::check_for_more;
         else if (heartbeat->agent_epoch != sent_agent_epoch)
-            next = Next::repeat_for_agent_epoch;
+            next = NextStep::repeat_for_agent_epoch;
     } else {
-        spdlog::error("machine {} answers with something that is no heartbeat", machine.name);
+        spdlog::error("machine {}: the response to a command request is not a heartbeat of this machine",
+                      machine.name);
     }
     host_.wake_placement();
     host_.wake_writes_if_any();
@@ -138,7 +146,7 @@
 
 void CommandDispatcher::probe(fleet::Machine& machine) {
     machine.probing = true;
-    host_.spawn("probe " + machine.name, request_status(machine.name));
+    host_.spawn("probe of machine " + machine.name, request_status(machine.name));
 }
 
 Task<> CommandDispatcher::request_status(std::string name) {
--- a/src/api/command_dispatcher.hpp
+++ b/src/api/command_dispatcher.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// Commands that a leader sends to workers by itself, beside its answers to their heartbeats, and probes.
+// Sends commands, fencing tokens and status probes to workers, in addition to the leader's heartbeat
+// responses.
 #include <deque>
 #include <functional>
 #include <memory>
@@ -11,38 +12,40 @@
 
 namespace barrowrun::api {
 
-// One per term. At most one dispatch and one probe of a machine are in flight; that is marked on the machine,
-// since it may be gone before the answer comes. Coroutines look machines up again after each suspension.
+// Each term has one dispatcher. At most one dispatch and one probe per machine are in flight; flags of
+// fleet::Machine mark them. A machine may be removed before the response arrives, so coroutines look it up
+// again after each suspension.
 class CommandDispatcher {
   public:
     struct Host {
         placement::Cluster& cluster;
-        TimePoint acquired;                                   // when the term began
-        std::function<bool()> may_act;                        // whether this node leads, at this moment
-        std::function<void(std::string, net::Task<>)> spawn;  // ends with the term
-        std::function<void(TimePoint)> worker_answered;       // a worker answered a request
+        TimePoint acquired;             // start of the term
+        std::function<bool()> may_act;  // whether this node holds a valid leader lease now
+        std::function<void(std::string, net::Task<>)> spawn;  // starts a coroutine that ends with the term
+        std::function<void(TimePoint)> worker_answered;       // called when a worker answers a request
         std::function<void()> wake_placement, wake_writes_if_any;
     };
     CommandDispatcher(Services services, Host host) : services_(services), host_(std::move(host)) {}
 
-    // Starts a dispatch to each machine that has commands waiting and can be reached.
+    // Starts a dispatch to each reachable machine that has pending commands.
     void dispatch_pending();
-    // Sends the term's fencing token, with commands if there are any: that voids what a former token may
-    // still start, and brings a fresh status.
+    // Sends the current fencing token to the machine, together with pending commands. The worker then rejects
+    // launches that were sent under older tokens, and its response contains its current status.
     void fence(const std::string& machine);
-    // The same for many, a few at once: a thousand connections took this process's whole share for seconds,
-    // the leader's lease was not extended meanwhile, and the next leader did the same.
+    // Fences many machines, `at_once` of them concurrently. A thousand concurrent connections used this
+    // process's whole CPU share for seconds: the leader lease was not extended meanwhile, and the next leader
+    // failed in the same way.
     void fence_all(std::deque<std::string> machines, int at_once);
-    // Asks the machine for its status; only while no probe of it is in flight.
+    // Requests the machine's status. Must not be called while a probe of the machine is in flight.
     void probe(fleet::Machine& machine);
 
   private:
-    enum class Purpose { commands, fence };  // fence: sent even without a command
-    enum class Next { done, repeat_for_agent_epoch, look_for_more };
+    enum class Purpose { commands, fence };  // fence: a request is sent even if no command is pending
+    enum class NextStep { done, repeat_for_agent_epoch, check_for_more };
 
     net::Task<> dispatch(std::string machine, Purpose purpose);
-    Next handle_answer(fleet::Machine& machine, const net::Reply& reply, std::uint64_t sent_agent_epoch,
-                       TimePoint now);
+    NextStep handle_response(fleet::Machine& machine, const net::Reply& reply, std::uint64_t sent_agent_epoch,
+                             TimePoint now);
     net::Task<> fence_known_workers(std::shared_ptr<std::deque<std::string>> machines);
     net::Task<> request_status(std::string machine);
 
--- a/src/api/in_flight.hpp
+++ b/src/api/in_flight.hpp
@@ -1,10 +1,10 @@
 #pragma once
-// Marks that an operation is in flight, for as long as the mark lives.
+// Scope guard for a flag that shows that an operation is in flight.
 
 namespace barrowrun::api {
 
-// Sets the flag, and clears it again on every way out of the scope, cancellation of a coroutine included.
-// The flag must outlive the mark: it is for members of an object that the coroutine keeps alive.
+// Sets the flag and clears it on every exit from the scope, including cancellation of a coroutine. The flag
+// must outlive the guard; use it for members of an object that the coroutine keeps alive.
 class InFlight {
   public:
     explicit InFlight(bool& flag) : flag_(flag) { flag_ = true; }
--- a/src/api/job_queries.cpp
+++ b/src/api/job_queries.cpp
@@ -1,4 +1,4 @@
-// What users ask about jobs that are there: their state, and to cancel them.
+// Requests of users for accepted jobs: status and cancellation.
 #include <spdlog/spdlog.h>
 
 #include "api/node.hpp"
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Final states that a node remembers.
+// Most final states of jobs that a node caches.
 constexpr std::size_t max_final_states = 20'000;
 }  // namespace
 
@@ -25,40 +25,40 @@
     auto get = [this](std::string key) {
         return state_.get(std::move(key), 1500ms, state::Throttle::admitted_lookup);
     };
-    // A job moves from jobs/ to past/ in one transaction, so looking in this order misses none.
+    // A job moves from jobs/ to past/ in one transaction, so reading jobs/ before past/ can't miss it.
     auto job = co_await get(state::job_key(id));
     if (job.outcome == Outcome::ok) {
         auto record = state::parse_job_record(job.value);
         if (!record) co_return lookup;
         auto progress = co_await get(state::progress_key(id));
         if (progress.outcome == Outcome::ok) {
-            auto p = state::parse_progress(progress.value, record->spec.tasks);
-            if (!p) co_return lookup;
+            auto parsed = state::parse_progress(progress.value, record->spec.tasks);
+            if (!parsed) co_return lookup;
             lookup.conclusive = true;
-            auto job_state = p->failed                              ? wire::JobState::failed
-                             : p->cancelled                         ? wire::JobState::cancelled
-                             : p->done.size() == record->spec.tasks ? wire::JobState::done
-                             : p->done.empty()                      ? wire::JobState::queued
-                                                                    : wire::JobState::running;
-            lookup.status = wire::JobStatus{id, job_state, p->done.size(), 0, p->total};
+            auto job_state = parsed->failed                              ? wire::JobState::failed
+                             : parsed->cancelled                         ? wire::JobState::cancelled
+                             : parsed->done.size() == record->spec.tasks ? wire::JobState::done
+                             : parsed->done.empty()                      ? wire::JobState::queued
+                                                                         : wire::JobState::running;
+            lookup.status = wire::JobStatus{id, job_state, parsed->done.size(), 0, parsed->total};
             co_return lookup;
         }
         if (progress.outcome != Outcome::absent) co_return lookup;
-        // No progress yet, or the job has just moved on: only past/ tells.
+        // The job has no progress yet, or it has just moved to past/: reading past/ tells which.
     } else if (job.outcome != Outcome::absent) {
         co_return lookup;
     }
-    auto past = co_await get(state::finished_key(id));
-    if (past.outcome == Outcome::ok) {
-        auto p = state::parse_finished_record(past.value);
-        if (!p) co_return lookup;
+    auto finished = co_await get(state::finished_key(id));
+    if (finished.outcome == Outcome::ok) {
+        auto parsed = state::parse_finished_record(finished.value);
+        if (!parsed) co_return lookup;
         lookup.conclusive = true;
-        lookup.status = wire::JobStatus{id, p->state, p->done, 0, p->errors};
+        lookup.status = wire::JobStatus{id, parsed->state, parsed->done, 0, parsed->errors};
         if (final_states_.size() >= max_final_states) final_states_.erase(final_states_.begin());
         final_states_[id] = *lookup.status;
         co_return lookup;
     }
-    if (past.outcome != Outcome::absent) co_return lookup;
+    if (finished.outcome != Outcome::absent) co_return lookup;
     lookup.conclusive = true;
     if (job.outcome == Outcome::ok) lookup.status = wire::JobStatus{id, wire::JobState::queued, 0, 0, {}};
     co_return lookup;
@@ -76,9 +76,10 @@
 Task<Response> Node::status(std::string id) {
     if (!wire::valid_job_id(id)) co_return error_response(404, "no such job");
     if (auto term = leader_; acting_leader()) {
-        auto s = term->status(id);
-        // The right to lead is checked after the look: an answer from memory is only good while it holds.
-        if (s && term->may_act()) co_return Response{200, wire::status_json(*s)};
+        auto job_status = term->status(id);
+        // The leader lease is checked after the status was read: an answer from memory is valid only while
+        // this node leads.
+        if (job_status && term->may_act()) co_return Response{200, wire::status_json(*job_status)};
     } else if (!final_states_.contains(id)) {
         auto answer = co_await forward_to_leader("/peer/status", job_id_body(id), 600ms);
         if (answer && answer->status == 200) co_return std::move(*answer);
--- a/src/api/leader.cpp
+++ b/src/api/leader.cpp
@@ -10,15 +10,16 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Within the 3.5 s for which another node that forwards a cancellation waits.
+// Less than the 3.5 s that a node waits for the leader's response when it forwards a cancellation.
 constexpr std::chrono::seconds cancellation_wait{3};
 constexpr std::chrono::milliseconds cancellation_poll{10};
-// An answer to a heartbeat stays within a message; the rest goes with the next.
+// Keeps the response to a heartbeat within the size of a message; the other commands follow in the next
+// response.
 constexpr std::size_t max_commands_per_answer = 300;
 constexpr std::chrono::milliseconds tick_interval{200};
-// Not again before the workers that the first one fences can have answered.
+// Long enough for the workers fenced with the previous token to answer before the token is refreshed again.
 constexpr std::chrono::seconds token_refresh_interval{4};
-// So that another node, which workers may reach, is elected.
+// Long enough for another node, which workers may be able to reach, to be elected.
 constexpr std::chrono::seconds step_down_pause{15};
 constexpr std::chrono::seconds starvation_check_interval{5};
 
@@ -57,11 +58,12 @@
           {cluster_, services.state, [this](fleet::Machine& machine) { dispatcher_.probe(machine); },
            [this](const std::string& machine) { dispatcher_.fence(machine); },
            [this](std::vector<std::string> machines) {
-               provisioner_.return_machines("return", std::move(machines), ReturnReason::prove_empty);
+               provisioner_.return_machines("return of silent machines", std::move(machines),
+                                            ReturnReason::prove_empty);
            }}),
       renewal_period_(
           leases::renewal_period(services.settings.placement.lease_s, services.settings.placement.cancel_s)),
-      // Reckoned with even where it is switched off: a predecessor may have had it on.
+      // Needed even if this leader grants no renewals: the settings of a predecessor may have allowed them.
       renewal_bound_(services.settings.member_names(), renewal_period_, acquired, fencing_token) {
     cluster_.lead(fencing_token, acquired);
     cluster_.set_types(services_.catalog);
@@ -86,9 +88,9 @@
 
 std::optional<leases::RenewalGrant> Leader::node_heartbeat(const std::string& node,
                                                            const leases::Heartbeat& heartbeat) {
-    auto out = grant();
-    renewal_bound_.heard(node, heartbeat, Clock::now(), out.has_value());
-    return out;
+    auto granted = grant();
+    renewal_bound_.heard(node, heartbeat, Clock::now(), granted.has_value());
+    return granted;
 }
 
 void Leader::start() {
@@ -103,7 +105,7 @@
 // ---- jobs ----------------------------------------------------------------------------------------------
 
 void Leader::add_job(const state::JobRecord& record) {
-    // A job that this term saw end must not come back by a notice that was under way.
+    // A delayed notice must not add a job again that has already finished in this term.
     if (cluster_.find_job(record.spec.id) || cluster_.finished_job(record.spec.id)) return;
     auto now = Clock::now();
     cluster_.add_job(record, nullptr, now, wall_ms());
@@ -118,7 +120,7 @@
 Task<> Leader::job_accepted(std::string id) {
     auto self = shared_from_this();
     if (!recovered_ || cluster_.find_job(id) || cluster_.finished_job(id)) co_return;
-    // The notice may be old: the record tells whether the job is still active.
+    // The notice may be old: only the record shows whether the job is still active.
     auto value = co_await services_.state.get(state::job_key(id));
     if (value.outcome != Outcome::ok || stopped_) co_return;
     if (auto record = state::parse_job_record(value.value)) add_job(*record);
@@ -130,9 +132,9 @@
         auto result = co_await services_.state.watch("jobs/", since, 10s);
         if (result.ok) {
             since = result.revision;
-            for (auto& e : result.events)
-                if (e.value)
-                    if (auto record = state::parse_job_record(*e.value)) add_job(*record);
+            for (auto& event : result.events)
+                if (event.value)
+                    if (auto record = state::parse_job_record(*event.value)) add_job(*record);
             continue;
         }
         if (result.too_old) {
@@ -155,8 +157,8 @@
         if (job.write_outcome_unknown()) return std::nullopt;
         return wire::JobStatus{id, job.job_state(), job.done.size(), job.running(), job.error_count};
     }
-    if (auto past = cluster_.finished_job(id))
-        return wire::JobStatus{id, past->state, past->done, 0, past->errors};
+    if (auto finished = cluster_.finished_job(id))
+        return wire::JobStatus{id, finished->state, finished->done, 0, finished->errors};
     return std::nullopt;
 }
 
@@ -181,9 +183,9 @@
     if (!recovered_ || !may_act()) co_return not_now();
     auto failure = co_await load_unknown_job(id);
     if (failure) co_return std::move(*failure);
-    const auto until = Clock::now() + cancellation_wait;
+    const auto deadline = Clock::now() + cancellation_wait;
     bool asked = false;
-    while (may_act() && Clock::now() < until) {
+    while (may_act() && Clock::now() < deadline) {
         if (auto finished = cluster_.finished_job(id))
             co_return Response{200, wire::accepted_json(id, finished->state)};
         auto* job = cluster_.find_job(id);
@@ -192,9 +194,10 @@
         if (job_state == wire::JobState::cancelled || job_state == wire::JobState::done ||
             job_state == wire::JobState::failed)
             co_return Response{200, wire::accepted_json(id, job_state)};
-        // A job whose last result is in counts as done; that is on record shortly.
+        // A job whose last result has arrived counts as done and is not cancelled; its record follows
+        // shortly.
         if (!asked && !job->finished()) {
-            spdlog::info("job {} is cancelled", id);
+            spdlog::info("job {}: cancelled on request", id);
             cluster_.cancel(*job, Clock::now());
             record_writer_.wake();
             dispatcher_.dispatch_pending();
@@ -207,15 +210,15 @@
 
 // ---- workers -------------------------------------------------------------------------------------------
 
-// A heartbeat before the records are read is kept for then. Whether its answer may renew the worker's lease
-// is known from this node's time as a follower alone.
+// Stores a heartbeat that arrives before the records are read. Until then, only the grants that this node
+// received as a follower tell whether a response may renew the worker's lease.
 Response Leader::renew_before_recovery(const wire::WorkerHeartbeat& heartbeat, TimePoint now) {
-    auto [it, fresh] = pending_heartbeats_.try_emplace(heartbeat.machine, heartbeat);
-    if (!fresh &&
+    auto [it, inserted] = pending_heartbeats_.try_emplace(heartbeat.machine, heartbeat);
+    if (!inserted &&
         std::pair(it->second.agent_epoch, it->second.seq) < std::pair(heartbeat.agent_epoch, heartbeat.seq))
         it->second = heartbeat;
-    // What the predecessor has confirmed as cancelled stands in the records, and an outage that begins before
-    // they are read may last for longer than `cancel_s`.
+    // Cancellations that the predecessor confirmed are in the records. An outage of the state service may
+    // delay reading them for longer than `cancel_s`, by which time tasks of cancelled jobs must be gone.
     if (!services_.renewer.may_renew(heartbeat.machine, now)) return not_entitled();
     if (cell_delegations_ && !cell_delegations_->may_renew(heartbeat, nullptr)) return not_entitled();
     renewals_before_recovery_[heartbeat.machine] = now;
@@ -236,8 +239,8 @@
     if (!newer && heartbeat.agent_epoch != m->agent_epoch) co_return not_entitled();
     if (cell_delegations_ && !cell_delegations_->may_renew(heartbeat, m)) co_return not_entitled();
     if (!m->may_renew(now, renewal_period_)) co_return not_entitled();
-    // Not newer, but of this agent epoch: an answer to a push has overtaken it. The worker still waits for
-    // this one.
+    // A heartbeat of the current agent epoch that is not newer was overtaken by the response to a command
+    // push. The worker still waits for a response to it.
     auto commands = cluster_.reply_commands(*m, now, newer && !m->returning);
     if (commands.size() > max_commands_per_answer) commands.resize(max_commands_per_answer);
     m->last_answer = now;
@@ -282,7 +285,7 @@
                 {"why", cluster_.explain(job, Clock::now())}};
 }
 
-// ---- duties --------------------------------------------------------------------------------------------
+// ---- loops ---------------------------------------------------------------------------------------------
 
 Task<> Leader::placement_loop() {
     for (;;) {
@@ -296,7 +299,7 @@
         cluster_.schedule_round(Clock::now());
         wake_writes_if_any();
         dispatcher_.dispatch_pending();
-        // What comes in close together is placed in one round, and written in one transaction.
+        // Jobs that arrive close together are placed in one round and written in one transaction.
         co_await net::sleep_for(8ms);
     }
 }
@@ -324,7 +327,7 @@
         worker_monitor_.note_delay(due, now);
         if (!may_act()) continue;
         cluster_.lead(services_.election.fencing_token(), acquired_);
-        const bool moved = cluster_.tick(
+        const bool tasks_gone = cluster_.tick(
             now, [&](const std::string& zone) { return renewal_bound_.latest_renewal(zone, now); });
         if (worker_monitor_.check(now) == WorkerMonitor::Contact::lost) {
             services_.election.step_down(step_down_pause);
@@ -333,13 +336,13 @@
         if (cluster_.has_unanswered_launch(now) && !refreshing_fencing_token_ &&
             services_.state.responsive(now)) {
             refreshing_fencing_token_ = true;
-            spawn("renew token", refresh_fencing_token());
+            spawn("fencing token refresh", refresh_fencing_token());
         }
         if (now - starvation_checked_ > starvation_check_interval) {
             starvation_checked_ = now;
             log_starvation(now);
         }
-        if (moved) placement_signal_.wake();
+        if (tasks_gone) placement_signal_.wake();
         wake_writes_if_any();
         dispatcher_.dispatch_pending();
     }
@@ -347,13 +350,15 @@
 
 void Leader::log_starvation(TimePoint now) {
     using State = placement::StarvationMonitor::State;
-    for (auto& line : cluster_.check_starvation(now)) {
-        if (line.state == State::healthy)
-            spdlog::info("{} is served again: {:.0f} % of its jobs", line.group, 100 * line.share);
+    for (auto& finding : cluster_.check_starvation(now)) {
+        if (finding.state == State::healthy)
+            spdlog::info("{}: {:.0f} % of its jobs are served, no longer at risk of starvation",
+                         finding.group, 100 * finding.share);
         else
-            spdlog::warn("{} is {}: {:.0f} % of its jobs are served, {:.0f} should have started", line.group,
-                         line.state == State::starved ? "served less than half" : "in danger",
-                         100 * line.share, line.waiting);
+            spdlog::warn(
+                "{}: {}, {:.0f} % of its jobs are served, {:.0f} late jobs should have started by now",
+                finding.group, finding.state == State::starved ? "starved" : "at risk of starvation",
+                100 * finding.share, finding.waiting);
     }
 }
 
--- a/src/api/leader.hpp
+++ b/src/api/leader.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// One term of leadership: the cluster's decisions, and the coroutines that carry them out.
+// The leader of a cell for one term: it schedules tasks and runs the coroutines that carry the decisions out.
 #include <map>
 #include <memory>
 
@@ -18,9 +18,10 @@
 using net::Task;
 using wire::Json;
 
-// Coordinates what belongs to one term: the cluster's decisions, the records, workers, machines and quotas,
-// each with an owner of its own. The node drops it when the term ends; coroutines that are still suspended
-// keep it alive until then, and look at `may_act` before every act or answer that only a leader may give.
+// Owns and connects the components of one term: scheduler state, record writer, command dispatcher, worker
+// monitor, provisioner and quota service. The node releases the leader when the term ends; coroutines that
+// are still suspended keep the object alive until they end. Each coroutine checks `may_act` before every
+// action or response that only a leader may take or give.
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     Leader(Services services, std::uint64_t fencing_token, TimePoint acquired);
@@ -28,29 +29,32 @@
     void stop();
 
     bool recovered() const { return recovered_; }
-    // Its part with other cells; nothing: there are none, or the records are still being read.
+    // Delegations to and from other cells; null if no cells are configured or recovery has not finished.
     CellDelegations* cells() { return recovered_ ? cell_delegations_.get() : nullptr; }
     bool may_act() const { return !stopped_ && services_.election.leading(Clock::now()); }
-    // A worker's heartbeat, at this node or by way of another.
+    // Handles a worker's heartbeat. `direct`: sent to this node, not forwarded by another node.
     Task<Response> worker_heartbeat(wire::WorkerHeartbeat heartbeat, bool direct);
-    // This node renewed the lease of a machine's worker while the term had no right to act
-    // (leases::LeaseRenewer). The right may come back, and then the lease counts from there
-    // (docs/incidents/lapsed-right.md).
+    // This node renewed the lease of a machine's worker while its leader lease had expired
+    // (leases::LeaseRenewer). If the leader lease is extended again, the worker's lease must be counted from
+    // that renewal (docs/incidents/lapsed-right.md).
     void lease_renewed(const std::string& machine, TimePoint when);
-    // The state of a job if this leader knows it, and no record that changes it is under way.
+    // The state of a job; nothing if this leader does not know the job, or if the outcome of a write that
+    // changes its state is not known yet.
     std::optional<wire::JobStatus> status(const std::string& id) const;
     Task<Response> cancel(std::string id);
-    // A job was accepted by some node and is on record.
+    // Another node accepted a job; its record is durable.
     Task<> job_accepted(std::string id);
+    // This node accepted a job; its record is durable.
     void job_accepted_locally(const state::JobRecord& record);
     bool admits(std::uint32_t tasks) const { return cluster_.queue().admits(tasks); }
     std::uint64_t waiting() const { return cluster_.queue().waiting(); }
-    // Operators: what every node of the quotas has in use, in pages; a change, on record before it is
-    // answered; what keeps a job waiting.
+    // Requests of operators: the usage of every node of the quota tree, in pages; a change of the quotas,
+    // answered once its record is durable; the reason why a job waits.
     Response quota_page(std::uint64_t since, std::uint64_t page) const;
     Task<Response> change_quotas(Json change);
     std::optional<Json> explain(const std::string& id) const;
-    // Another node's heartbeat; what it may keep until the next, if its answer may say so.
+    // Handles another node's heartbeat. Returns the grant for the response: which worker leases that node may
+    // renew until its next heartbeat. Nothing if there is no grant.
     std::optional<leases::RenewalGrant> node_heartbeat(const std::string& node,
                                                        const leases::Heartbeat& heartbeat);
     std::optional<leases::RenewalGrant> grant() const;
@@ -58,7 +62,7 @@
     const quota::Tree& quota_tree() const { return cluster_.ledger().tree(); }
 
   private:
-    // Reads the records, then starts the term's loops. Until it is done nobody else looks at the cluster.
+    // Reads the records, then starts the term's loops. No other coroutine reads `cluster_` before it is done.
     Task<> recover();
     Task<> read_delegation_records();
     Task<> recover_delegations(TimePoint now, std::int64_t wall);
@@ -72,15 +76,16 @@
     void fence_known_workers(TimePoint now);
     void start_loops();
     Response renew_before_recovery(const wire::WorkerHeartbeat& heartbeat, TimePoint now);
-    // Puts a job that this term does not know into its memory, from the records. A response: that can't be.
+    // Loads a job that this term does not know from the records. Returns an error response if the job does
+    // not exist or can't be read.
     Task<std::optional<Response>> load_unknown_job(std::string id);
     Task<> placement_loop();
     Task<> tick_loop();
     Task<> watch_jobs();
     Task<> refresh_fencing_token();
     void log_starvation(TimePoint now);
-    void spawn(std::string name, Task<> duty) {
-        duties_.spawn(std::move(name), shared_from_this(), std::move(duty));
+    void spawn(std::string name, Task<> coroutine) {
+        duties_.spawn(std::move(name), shared_from_this(), std::move(coroutine));
     }
     void wake_writes_if_any() {
         if (cluster_.has_writes()) record_writer_.wake();
@@ -98,9 +103,9 @@
     Provisioner provisioner_;
     QuotaService quotas_;
     WorkerMonitor worker_monitor_;
-    std::uint64_t watch_revision_ = 0;  // of the records that were read: the watch goes on from there
-    // Of workers that reported before the records were read: their newest heartbeats, and when leases were
-    // renewed by an answer.
+    std::uint64_t watch_revision_ = 0;  // revision of the recovered job records; the watch starts there
+    // Heartbeats received before recovery finished: the newest of each machine, and when the machine's lease
+    // was last renewed.
     std::map<std::string, wire::WorkerHeartbeat> pending_heartbeats_;
     std::map<std::string, TimePoint> renewals_before_recovery_;
     TimePoint starvation_checked_{};
--- a/src/api/node.cpp
+++ b/src/api/node.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-std::vector<election::Peer> peers_of(const settings::Settings& s) {
-    std::vector<election::Peer> out;
-    for (auto& m : s.members) {
-        election::Peer p;
-        p.name = m.name;
-        p.address = m.address;
-        p.reach = net::Reach("node " + m.name);
-        out.push_back(std::move(p));
+std::vector<election::Peer> peers_of(const settings::Settings& settings) {
+    std::vector<election::Peer> peers;
+    for (auto& member : settings.members) {
+        election::Peer peer;
+        peer.name = member.name;
+        peer.address = member.address;
+        peer.reach = net::Reach("node " + member.name);
+        peers.push_back(std::move(peer));
     }
-    return out;
+    return peers;
 }
 
 }  // namespace
@@ -40,9 +40,9 @@
       renewer_(settings.zone, settings.lease_renewal_period(), Clock::now()) {
     election_.heartbeat = [this] {
         auto now = Clock::now();
-        // A leader's right at this moment is its contact: a successor's time begins later.
-        if (auto* l = acting_leader())
-            if (auto grant = l->grant()) renewer_.leads(now, std::move(*grant));
+        // A valid leader lease counts as contact with the leader, because a successor's term begins later.
+        if (auto* leader = acting_leader())
+            if (auto grant = leader->grant()) renewer_.leads(now, std::move(*grant));
         return leases::to_json(renewer_.heartbeat(now));
     };
     election_.on_grant = [this](TimePoint sent, const Json& value) {
@@ -63,12 +63,12 @@
 void Node::start() {
     public_server_.listen(settings_.listen_address);
     peer_server_.listen(settings_.peer_listen_address);
-    auto ended = [](const char* what) {
-        return [what](std::exception_ptr e) {
+    auto log_exception = [](const char* name) {
+        return [name](std::exception_ptr e) {
             try {
                 if (e) std::rethrow_exception(e);
             } catch (const std::exception& err) {
-                spdlog::error("{} ended: {}", what, err.what());
+                spdlog::error("{}: ended by an exception: {}", name, err.what());
             }
         };
     };
@@ -79,23 +79,24 @@
                                                             ? net::Caller::system
                                                             : net::Caller::user;
                                              }),
-                        ended("the public server"));
+                        log_exception("public server"));
     net::asio::co_spawn(io_, peer_server_.serve([this](net::Request r) { return peer_route(std::move(r)); }),
-                        ended("the peer server"));
-    net::asio::co_spawn(io_, election_.run(), ended("the election"));
-    net::asio::co_spawn(io_, election_.send_heartbeats(), ended("the pings"));
-    net::asio::co_spawn(io_, load_catalog(), ended("the catalog"));
+                        log_exception("peer server"));
+    net::asio::co_spawn(io_, election_.run(), log_exception("election"));
+    net::asio::co_spawn(io_, election_.send_heartbeats(), log_exception("node heartbeats"));
+    net::asio::co_spawn(io_, load_catalog(), log_exception("machine type loading"));
 }
 
 Task<> Node::load_catalog() {
-    // A leader asks the cloud; the others read what it found.
+    // The leader requests the machine types from the cloud and records them; other nodes read its record.
     while (catalog_.empty()) {
         auto value = co_await state_.get(state::catalog_key);
         if (value.outcome == Outcome::ok) {
             auto types = wire::parse_types(value.value);
             if (types && catalog_.empty()) catalog_ = *types;
         }
-        // A node that is started into an outage says what else it can't reach.
+        // A node that starts during an outage of the state service also logs whether it can't reach the
+        // cloud.
         if (catalog_.empty() && !state_.responsive(Clock::now())) co_await cloud_.check_reachability();
         if (catalog_.empty()) co_await net::sleep_for(500ms);
     }
@@ -148,16 +149,17 @@
 
 Response Node::health() {
     auto now = Clock::now();
-    // When the state service refuses everyone, being out of rotation would only make the recovery slower.
-    // When it refuses this node alone, the others should get the users. Only what another says 3 s later
-    // tells: in the first seconds of an outage for all, what others said still stems from before. Two nodes
-    // out of three took themselves out of the load balancer's rotation then, and each such removal doubles
-    // the pause of the next.
+    // If the state service fails for all nodes, leaving the load balancer's rotation would only delay the
+    // recovery. If it fails for this node alone, users should be sent to the others. Only what a peer reports
+    // at least 3 s after the failure began can tell these cases apart: in the first seconds of a general
+    // outage, the peers' reports are still from before it. Without this delay, two of three nodes left the
+    // rotation, and each removal doubles the pause before the next return.
     const bool ready =
         state_.responsive(now) || !election_.peer_reaches_state_service(now, state_.failing_since() + 3s);
     if (ready != ready_)
-        spdlog::info(ready ? "ready for users again"
-                           : "not ready for users: the state service refuses this node alone");
+        spdlog::info(
+            ready ? "node: ready for users' requests again"
+                  : "node: not ready for users' requests, the state service fails for this node alone");
     ready_ = ready;
     return ready ? Response{} : error_response(503, "the state service refuses this node");
 }
--- a/src/api/operator_requests.cpp
+++ b/src/api/operator_requests.cpp
@@ -1,4 +1,4 @@
-// What operators ask: quotas, and why a job waits. Only the leader can answer.
+// Requests of operators: quotas, and the reason why a job waits. Only the leader can answer them.
 #include <charconv>
 
 #include "api/node.hpp"
@@ -8,7 +8,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-// `name=123` of a target; 0 if it isn't there.
+// Value of the query parameter `name` in a request target, a number; 0 if it is absent.
 std::uint64_t query_number(const std::string& target, const std::string& name) {
     auto at = target.find('?');
     while (at != std::string::npos) {
@@ -37,11 +37,11 @@
         auto answer = term->quota_page(query_number(target, "since"), query_number(target, "page"));
         if (term->may_act()) co_return answer;
     } else if (!from_peer) {
-        Json ask{{"target", target}};
-        if (change) ask["change"] = std::move(body);
-        // A change waits for the state service; without an answer it may have been made.
-        const Clock::duration patience = change ? 4500ms : 1500ms;
-        auto answer = co_await forward_to_leader("/peer/quota", std::move(ask), patience);
+        Json request{{"target", target}};
+        if (change) request["change"] = std::move(body);
+        // A change waits for the state service. If it is not answered in time, it may still have been made.
+        const Clock::duration timeout = change ? 4500ms : 1500ms;
+        auto answer = co_await forward_to_leader("/peer/quota", std::move(request), timeout);
         if (answer) co_return std::move(*answer);
     }
     co_return error_response(503, "no leader can be reached", 1);
@@ -57,7 +57,7 @@
             co_return std::move(*answer);
     }
     if (from_peer) co_return error_response(503, "not known here");
-    // Over, unknown, or nobody leads: its state is all there is to say.
+    // The job is finished or unknown, or no leader can be reached: the answer is the job's state alone.
     co_return co_await status(id);
 }
 
@@ -71,14 +71,15 @@
     }
     if (cached_quota_tree_ && cached_quota_tree_->find_project(spec.team, spec.project))
         co_return std::nullopt;
-    // It may have been added since: a refusal needs a fresh look. Where none can be had the job is taken, and
-    // charged to the nearest node above.
-    quota::VersionedQuotas book;
-    const auto outcome = co_await read_quota_records(state_, settings_.placement.value_bytes, book);
+    // The project may have been added since the cached tree was read, so the records are read again before a
+    // rejection. If they can't be read, the job is accepted and charged to the nearest existing quota node
+    // above.
+    quota::VersionedQuotas recorded;
+    const auto outcome = co_await read_quota_records(state_, settings_.placement.value_bytes, recorded);
     if (outcome != QuotaReadStatus::ok && outcome != QuotaReadStatus::none) co_return std::nullopt;
-    auto lines = *settings_.placement.quotas;
-    if (outcome == QuotaReadStatus::ok) lines = book.entries();
-    auto built = quota::Tree::build(std::move(lines), placement::quota_teams(settings_.placement.teams));
+    auto entries = *settings_.placement.quotas;
+    if (outcome == QuotaReadStatus::ok) entries = recorded.entries();
+    auto built = quota::Tree::build(std::move(entries), placement::quota_teams(settings_.placement.teams));
     if (!built.tree) co_return std::nullopt;
     cached_quota_tree_ = built.tree;
     if (cached_quota_tree_->find_project(spec.team, spec.project)) co_return std::nullopt;
--- a/src/api/peer_routes.cpp
+++ b/src/api/peer_routes.cpp
@@ -1,4 +1,4 @@
-// What other nodes ask of this one, of its own cell and of others.
+// Routes for requests of other nodes, both of this cell and of other cells.
 #include "api/node.hpp"
 #include "api/responses.hpp"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-// What a peer may ask this node to abstain from leading for, whatever it says.
+// Longest lease vote that a peer can request, during which this node does not campaign.
 constexpr std::uint64_t max_lease_vote_ms = 60'000;
 
 Response malformed() {
@@ -26,7 +26,8 @@
     if (request.method != verb::post || !body) co_return malformed();
     const std::string& target = request.target;
     if (target == "/peer/ping") co_return answer_ping(*body);
-    // A part of a job, between cells: an offer comes as a submission, a recall as a cancellation.
+    // Delegations between cells use two paths of jobs: an offer is sent as a submission, a recall as a
+    // cancellation.
     const bool submit = target == "/peer/submit", cancel = target == "/peer/cancel";
     const Json* part = wire::find(*body, "part");
     if (part && (submit || cancel)) co_return co_await delegation_from_cell(*part, submit);
@@ -88,7 +89,7 @@
     if (!wire::valid_job_id(id)) return malformed();
     auto* term = acting_leader();
     if (!term) return not_entitled();
-    // Nothing: the asking node reads the state service itself.
+    // Without a status here, the requesting node reads the state service itself.
     auto status = term->status(id);
     if (!status || !term->may_act()) return error_response(503, "not known here");
     return Response{200, wire::status_json(*status)};
@@ -112,8 +113,8 @@
 }
 
 Task<Response> Node::quota_request_from_peer(const Json& body) {
-    // Not as a conditional expression in the call: GCC 12 destroys such temporaries of a coroutine twice,
-    // which ended the leader whenever a follower passed a question on.
+    // Not a conditional expression in the call: GCC 12 destroys such temporaries of a coroutine twice, which
+    // crashed the leader whenever a follower forwarded a request.
     auto query = wire::text(body, "target").value_or("");
     Json change = Json::object();
     const Json* given = wire::find(body, "change");
--- a/src/api/provisioner.cpp
+++ b/src/api/provisioner.cpp
@@ -8,16 +8,18 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Types and prices change rarely; without any, nothing can be placed.
+// Types and prices change rarely. Without any machine types no task can be placed, so the first request is
+// retried sooner.
 constexpr std::chrono::seconds types_interval{30}, types_retry{5}, first_types_retry{1};
-// The list takes a share of the cloud's rate at most, and is read this often where that allows more.
+// The machine list takes at most one in `requests_per_list` of the requests that the cloud's rate limit
+// allows, and is read at most once per `min_list_interval_s`.
 constexpr double min_list_interval_s = 3.0, requests_per_list = 2.5;
-// A new leader hears of machines first, before it decides on their number.
+// A new leader receives heartbeats of its machines before it first scales out or in.
 constexpr std::chrono::milliseconds first_scaling_delay{1500}, scaling_interval{700};
 constexpr double min_open_requests = 3.0;
 constexpr std::chrono::milliseconds not_leading_pause{300};
 constexpr std::chrono::seconds no_answer_pause{1};
-constexpr std::size_t max_returned_at_once = 100;  // of one call
+constexpr std::size_t max_returned_at_once = 100;  // machines per request
 }  // namespace
 
 void Provisioner::recover_request(std::string request, state::ProvisioningRecord record) {
@@ -25,14 +27,14 @@
 }
 
 void Provisioner::start() {
-    host_.spawn("cloud types", refresh_machine_types());
-    host_.spawn("cloud list", reconcile_machines());
-    host_.spawn("cloud rent", scaling_loop());
+    host_.spawn("machine type refresh", refresh_machine_types());
+    host_.spawn("machine list refresh", reconcile_machines());
+    host_.spawn("scaling loop", scaling_loop());
     for (auto& [request, record] : open_requests_)
-        host_.spawn("rent " + request, provision(request, record, Attempt::repeat));
+        host_.spawn("provisioning request " + request, provision(request, record, Attempt::repeat));
 }
 
-// Suspends between calls of the cloud only; the types in force are replaced as a whole.
+// Suspends only between requests to the cloud. The machine types are replaced as a whole.
 Task<> Provisioner::refresh_machine_types() {
     std::string recorded;
     for (;;) {
@@ -44,7 +46,7 @@
         services_.catalog = *types;
         host_.cluster.set_types(*types);
         host_.wake_placement();
-        // Spot prices change all the time: a change of these alone is not recorded.
+        // Spot prices change all the time; a change of spot prices alone is not recorded.
         auto without_spot_prices = *types;
         for (auto& type : without_spot_prices) type.spot_price = 0;
         auto text = wire::types_json(without_spot_prices).dump();
@@ -67,7 +69,7 @@
             std::vector<std::string> failed;
             for (auto& listed : list->machines) reconcile(listed, now, failed);
             if (!failed.empty())
-                return_machines("return failed", std::move(failed), ReturnReason::not_needed);
+                return_machines("return of failed machines", std::move(failed), ReturnReason::not_needed);
         }
         const auto rate = services_.settings.cloud_requests_per_s;
         co_await net::sleep_for(secs(std::max(min_list_interval_s, requests_per_list / rate)));
@@ -86,9 +88,10 @@
         return;
     }
     if (!machine) {
-        // Rented by a request of an earlier leader that was executed late, or returned just now.
+        // The machine was provisioned late by a request of an earlier leader, or it was just returned.
         if (cluster.is_gone(listed.name)) return;
-        spdlog::info("machine {} ({}, {}) is listed and not known", listed.name, listed.type, listed.zone);
+        spdlog::info("machine {}: listed by the cloud but unknown, added with type {} in zone {}",
+                     listed.name, listed.type, listed.zone);
         machine = &cluster.add_machine(listed.name, listed.type, listed.zone, listed.spot, now);
         machine->provisioned_at = now - secs(listed.age_s);
         cluster.mark_machine_changed(listed.name);
@@ -101,7 +104,7 @@
 
 // ---- scale out and in ----------------------------------------------------------------------------------
 
-// Requests that the cloud's rate holds back, or that have no answer, are not heaped up.
+// Bounds the requests that wait for the cloud's rate limit or for a response.
 std::size_t Provisioner::max_open_requests() const {
     return static_cast<std::size_t>(std::max(min_open_requests, services_.settings.cloud_requests_per_s));
 }
@@ -115,13 +118,13 @@
 }
 
 void Provisioner::scale(TimePoint now) {
-    std::vector<autoscaler::MachineOrder> coming;
+    std::vector<autoscaler::MachineOrder> pending;
     for (auto& [request, record] : open_requests_)
-        coming.push_back({{record.type, record.zone, record.spot}, record.count});
-    auto plan = autoscaler_.plan(host_.cluster, now, coming);
+        pending.push_back({{record.type, record.zone, record.spot}, record.count});
+    auto plan = autoscaler_.plan(host_.cluster, now, pending);
     return_idle(plan.scale_in);
     if (auto* machine = host_.cluster.find_machine(plan.drain)) {
-        spdlog::info("machine {} is emptied: its {} replicas have room elsewhere", machine->name,
+        spdlog::info("machine {}: draining, its {} replicas fit on other machines", machine->name,
                      machine->live());
         machine->draining = true;
     }
@@ -141,8 +144,8 @@
         idle.push_back(name);
     }
     if (idle.empty()) return;
-    spdlog::info("{} idle machines are returned, {} first", idle.size(), idle.front());
-    return_machines("return idle", std::move(idle), ReturnReason::not_needed);
+    spdlog::info("scale in: returning {} idle machines, the first is {}", idle.size(), idle.front());
+    return_machines("return of idle machines", std::move(idle), ReturnReason::not_needed);
 }
 
 void Provisioner::request_machines(const autoscaler::MachineOrder& order) {
@@ -151,13 +154,14 @@
     state::ProvisioningRecord record{order.offer.type, order.offer.zone, order.offer.spot, order.count};
     open_requests_[request] = record;
     auto send = [this, request, record] {
-        if (!host_.stopped()) host_.spawn("rent " + request, provision(request, record, Attempt::first));
+        if (!host_.stopped())
+            host_.spawn("provisioning request " + request, provision(request, record, Attempt::first));
     };
     host_.cluster.enqueue({state::provisioning_key(request), state::to_json(record), std::move(send)});
 }
 
-// Ends once the cloud has answered. While it waits for its turn or for an answer, leadership may be lost and
-// won again, and other requests may show that there are no such machines.
+// Ends once the cloud has answered. While the request waits for the rate limit or for a response, leadership
+// may be lost and regained, and other requests may show that no such machines are available.
 Task<> Provisioner::provision(std::string request, state::ProvisioningRecord record, Attempt attempt) {
     const autoscaler::Offer offer{record.type, record.zone, record.spot};
     const char* spot = record.spot ? ", spot" : "";
@@ -167,16 +171,16 @@
             co_await net::sleep_for(not_leading_pause);
             continue;
         }
-        // Another request has shown meanwhile that there is none: a call that can do more is let through
-        // instead. Only a request that was never sent may be dropped.
+        // If another request has shown that no such machine is available, the rate budget is left to other
+        // requests. Only a request that was never sent may be dropped.
         if (attempt == Attempt::first && autoscaler_.refuses(offer, Clock::now())) break;
         attempt = Attempt::repeat;
         auto sent = Clock::now();
         auto result =
             co_await services_.cloud.provision(request, record.type, record.zone, record.spot, record.count);
         if (result.outcome == fleet::ProvisioningOutcome::granted) {
-            spdlog::info("rented {} of {} {} in {}{} ({})", result.machines.size(), record.count, record.type,
-                         record.zone, spot, request);
+            spdlog::info("provisioning request {}: granted {} of {} machines of type {} in zone {}{}",
+                         request, result.machines.size(), record.count, record.type, record.zone, spot);
             add_machines(result.machines, record, sent);
             if (static_cast<int>(result.machines.size()) < record.count)
                 autoscaler_.refused(offer, Clock::now());
@@ -186,11 +190,12 @@
         }
         if (result.outcome == fleet::ProvisioningOutcome::no_capacity ||
             result.outcome == fleet::ProvisioningOutcome::refused) {
-            spdlog::info("no {} to be had in {}{} ({})", record.type, record.zone, spot, request);
+            spdlog::info("provisioning request {}: no machine of type {} available in zone {}{}", request,
+                         record.type, record.zone, spot);
             autoscaler_.refused(offer, Clock::now());
             break;
         }
-        co_await net::sleep_for(no_answer_pause);  // the same request again, under the same name
+        co_await net::sleep_for(no_answer_pause);  // then the request is repeated under the same name
     }
     close_request(request);
 }
@@ -198,7 +203,7 @@
 void Provisioner::add_machines(const std::vector<std::string>& names, const state::ProvisioningRecord& record,
                                TimePoint sent) {
     for (auto& name : names) {
-        // The answer to a repeat names what it named before.
+        // The response to a repeated request lists the same machines again, even those that are gone by now.
         if (host_.cluster.is_gone(name)) continue;
         auto& machine = host_.cluster.add_machine(name, record.type, record.zone, record.spot, sent);
         machine.provisioned_at = sent;
@@ -216,20 +221,21 @@
     host_.spawn(std::move(name), deprovision(std::move(machines), reason));
 }
 
-// A part of the machines in each call. One that the cloud has taken back is proven gone; a call without an
-// answer is repeated.
+// Returns the machines in batches. Machines that the cloud has taken back are proven gone; a request without
+// a response is repeated.
 Task<> Provisioner::deprovision(std::vector<std::string> machines, ReturnReason reason) {
-    const char* proof = reason == ReturnReason::prove_empty ? "returned, to prove it empty" : "returned";
+    const char* proof =
+        reason == ReturnReason::prove_empty ? "returned to prove that it runs no task" : "returned";
     while (!machines.empty()) {
         const auto count = static_cast<long>(std::min(max_returned_at_once, machines.size()));
-        std::vector<std::string> part(machines.begin(), machines.begin() + count);
+        std::vector<std::string> batch(machines.begin(), machines.begin() + count);
         bool returned = false;
-        if (host_.may_act()) returned = co_await services_.cloud.return_machines(part);
+        if (host_.may_act()) returned = co_await services_.cloud.return_machines(batch);
         if (!returned) {
             co_await net::sleep_for(no_answer_pause);
             continue;
         }
-        for (auto& name : part) host_.cluster.machine_gone(name, proof, Clock::now());
+        for (auto& name : batch) host_.cluster.machine_gone(name, proof, Clock::now());
         machines.erase(machines.begin(), machines.begin() + count);
         host_.wake_placement();
         host_.wake_writes();
--- a/src/api/provisioner.hpp
+++ b/src/api/provisioner.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The term's part with the cloud: machine types, the list of machines, provisioning requests and returns.
+// The leader's use of the cloud API: machine types, the list of machines, provisioning and returning
+// machines.
 #include <functional>
 #include <map>
 #include <string>
@@ -15,35 +16,35 @@
 // Why machines are returned.
 enum class ReturnReason {
     not_needed,   // idle, or listed as failed
-    prove_empty,  // silent: once it is returned nothing can run there
+    prove_empty,  // declared failed: no task can run there once the cloud has taken the machine back
 };
 
-// Owns the open provisioning requests of one term. Each is on record before it is sent, so that a successor
-// repeats it rather than forget it; a repeat under the same name is idempotent.
+// Owns the open provisioning requests of one term. Each request is recorded before it is sent, so that a new
+// leader repeats it. A repeated request with the same name is idempotent.
 class Provisioner {
   public:
     struct Host {
         placement::Cluster& cluster;
-        std::function<bool()> may_act;                        // whether this node leads, at this moment
-        std::function<bool()> stopped;                        // the term is over
-        std::function<void(std::string, net::Task<>)> spawn;  // ends with the term
+        std::function<bool()> may_act;  // whether this node holds a valid leader lease now
+        std::function<bool()> stopped;  // whether the term has ended
+        std::function<void(std::string, net::Task<>)> spawn;  // starts a coroutine that ends with the term
         std::function<void()> wake_placement, wake_writes;
     };
     Provisioner(Services services, Host host) : services_(services), host_(std::move(host)) {}
 
-    // A request that a predecessor recorded. Before `start`.
+    // Adds a request that a predecessor recorded. Called before `start`.
     void recover_request(std::string request, state::ProvisioningRecord record);
     std::size_t open_requests() const { return open_requests_.size(); }
-    // Starts the loops, and repeats the requests that were recovered.
+    // Starts the loops and repeats the recovered requests.
     void start();
-    // A job has arrived: the autoscaler reckons with the rate of arrivals.
+    // A job has arrived. The autoscaler uses the arrival rate.
     void note_arrival(const wire::JobSpec& spec, TimePoint now) { autoscaler_.note_arrival(spec, now); }
-    // Returns machines to the cloud, and repeats that until it is done. Their `returning` is set by the
-    // caller. `name`: of the coroutine, in the log.
+    // Returns machines to the cloud and repeats the request until it succeeds. The caller has set their
+    // `returning`. `name`: name of the coroutine in the log.
     void return_machines(std::string name, std::vector<std::string> machines, ReturnReason reason);
 
   private:
-    // Whether a request may have been sent before.
+    // `repeat`: the request may have been sent before.
     enum class Attempt { first, repeat };
     using Listed = wire::ListedMachine;
 
@@ -64,8 +65,8 @@
     Services services_;
     Host host_;
     autoscaler::Autoscaler autoscaler_;
-    std::map<std::string, state::ProvisioningRecord> open_requests_;  // by name
-    std::uint64_t requests_made_ = 0;                                 // in this term, part of their names
+    std::map<std::string, state::ProvisioningRecord> open_requests_;  // by request name
+    std::uint64_t requests_made_ = 0;  // in this term; part of the request names
 };
 
 }  // namespace barrowrun::api
--- a/src/api/quota_service.cpp
+++ b/src/api/quota_service.cpp
@@ -15,13 +15,13 @@
 using namespace std::chrono_literals;
 
 namespace {
-// A page of answers stays well within the 64 KiB that bodies of users may have.
+// Keeps a page well within the 64 KiB limit of users' request and response bodies.
 constexpr std::size_t max_page_nodes = 150;
-// Around a key and its value in a transaction, at the most.
-constexpr std::size_t bytes_around_a_value = 40;
+// Most bytes that a transaction takes for a write in addition to its key and value.
+constexpr std::size_t max_write_overhead_bytes = 40;
 constexpr std::size_t max_listed_errors = 50;
 constexpr int max_read_attempts = 3;
-// While the state service does not answer, refuses, or another transaction came first.
+// Pauses after the state service did not answer a read, refused a transaction, or found a conflict.
 constexpr std::chrono::milliseconds read_retry_pause{200}, refused_retry_pause{200}, conflict_retry_pause{50};
 constexpr std::chrono::milliseconds day{86'400'000};
 
@@ -60,7 +60,8 @@
         auto read = VersionedQuotas::from_records(records, value_bytes);
         auto head = co_await state.get(quota::head_key);
         if (head.outcome != Outcome::ok) co_return QuotaReadStatus::no_answer;
-        // Changed while it was read: a slot may hold what is older or newer than the head says.
+        // The head changed during the read, so a slot may hold an older or newer page than the head refers
+        // to.
         if (head.value != records[quota::head_key]) continue;
         if (auto* usable = std::get_if<VersionedQuotas>(&read)) {
             quotas = std::move(*usable);
@@ -70,46 +71,48 @@
         break;
     }
     if (error.empty()) co_return QuotaReadStatus::no_answer;
-    spdlog::error("the quotas on record can't be used ({})", error);
+    spdlog::error("quotas: the records in the state service are invalid ({})", error);
     co_return QuotaReadStatus::unusable;
 }
 
-// ---- a term's quotas ------------------------------------------------------------------------------------
+// ---- quotas in force ------------------------------------------------------------------------------------
 
 void QuotaService::apply(VersionedQuotas quotas, quota::TreePtr tree) {
-    // When limits were lowered is a time of day: by how much that is off, what drains has more or less
-    // patience.
-    auto ago = std::clamp<std::int64_t>(wall_ms() - quotas.changed_ms(), 0, day.count());
+    // The time of the change is recorded as a time of day. A clock error makes the grace period of tasks
+    // above a lowered limit longer or shorter by the same amount.
+    auto ms_since_change = std::clamp<std::int64_t>(wall_ms() - quotas.changed_ms(), 0, day.count());
     quotas_ = std::move(quotas);
-    host_.cluster.set_quotas(std::move(tree), Clock::now() - std::chrono::milliseconds(ago),
+    host_.cluster.set_quotas(std::move(tree), Clock::now() - std::chrono::milliseconds(ms_since_change),
                              quotas_.over_limit_grace_s());
 }
 
 Task<> QuotaService::recover() {
-    const auto& rules = services_.settings.placement;
-    if (!rules.quotas) co_return;
-    quotas_ = VersionedQuotas(*rules.quotas, rules.value_bytes, rules.over_limit_grace_s);
+    const auto& config = services_.settings.placement;
+    if (!config.quotas) co_return;
+    quotas_ = VersionedQuotas(*config.quotas, config.value_bytes, config.over_limit_grace_s);
     VersionedQuotas recorded;
-    auto status = co_await read_quota_records(services_.state, rules.value_bytes, recorded);
+    auto status = co_await read_quota_records(services_.state, config.value_bytes, recorded);
     while (status == QuotaReadStatus::no_answer) {
         co_await net::sleep_for(read_retry_pause);
-        status = co_await read_quota_records(services_.state, rules.value_bytes, recorded);
+        status = co_await read_quota_records(services_.state, config.value_bytes, recorded);
     }
     if (status != QuotaReadStatus::ok) co_return;
-    const auto teams = placement::quota_teams(rules.teams);
+    const auto teams = placement::quota_teams(config.teams);
     auto built = quota::Tree::build(recorded.entries(), teams, recorded.version());
     if (built.tree) {
         apply(std::move(recorded), std::move(built.tree));
         co_return;
     }
-    // The platform's file has changed under it. Its limits and the operator's file hold.
-    for (auto& error : built.errors) spdlog::error("quotas on record: {}", error.str());
+    // The platform's file has changed and the recorded version no longer fits it: the platform's limits and
+    // the operator's file apply instead.
+    for (auto& error : built.errors)
+        spdlog::error("quotas: the recorded version does not fit the settings ({})", error.str());
 }
 
 // ---- changes -------------------------------------------------------------------------------------------
 
 std::optional<Response> QuotaService::answer_without_writing(const quota::Change& change) const {
-    // The same request again, since its answer was lost.
+    // The request was repeated because its answer was lost.
     for (auto& entry : quotas_.history())
         if (!change.nonce.empty() && entry.nonce == change.nonce)
             return Response{200, {{"version", entry.version}}};
@@ -135,22 +138,22 @@
 }  // namespace
 
 Task<Response> QuotaService::change(Json body) {
-    const auto& rules = services_.settings.placement;
+    const auto& config = services_.settings.placement;
     if (!host_.may_act()) co_return error_response(503, "not now", 1);
     auto parsed = quota::parse_change(body);
-    if (auto* wrong = std::get_if<std::string>(&parsed)) co_return error_response(400, *wrong);
+    if (auto* error_text = std::get_if<std::string>(&parsed)) co_return error_response(400, *error_text);
     const auto& change = std::get<quota::Change>(parsed);
     if (changing_) co_return error_response(503, "another change is under way", 1);
     auto known = answer_without_writing(change);
     if (known) co_return std::move(*known);
-    auto result = quotas_.with_change(change, placement::quota_teams(rules.teams), wall_ms());
+    auto result = quotas_.with_change(change, placement::quota_teams(config.teams), wall_ms());
     if (auto* errors = std::get_if<std::vector<quota::ValidationError>>(&result))
         co_return invalid_change(*errors);
     auto& next = std::get<VersionedQuotas::NextVersion>(result);
     InFlight changing(changing_);
     const bool written = co_await write_version(std::move(next.writes));
     if (!written) co_return leadership_lost();
-    spdlog::info("quotas are at version {}: {} nodes set, {} dropped, by {} ({})", next.book.version(),
+    spdlog::info("quotas: version {} in force, {} nodes set, {} removed, by {} ({})", next.book.version(),
                  change.set_entries.size(), change.removed_paths.size(), change.author, change.reason);
     apply(std::move(next.book), next.tree);
     host_.wake_placement();
@@ -158,16 +161,16 @@
     co_return Response{200, {{"version", quotas_.version()}}};
 }
 
-// The operations of the next transaction: as many records as it takes, in order.
+// Returns the operations of the next transaction: as many of the writes from `from` on as fit, in order.
 std::vector<state::Operation> QuotaService::next_transaction(
     const std::vector<VersionedQuotas::RecordWrite>& writes, std::size_t from) const {
-    const auto most = max_transaction_operations(services_.settings.placement);
+    const auto max_operations = max_transaction_operations(services_.settings.placement);
     std::vector<state::Operation> operations;
     std::size_t bytes = 0;
-    for (auto at = from; at < writes.size() && operations.size() < most; ++at) {
+    for (auto at = from; at < writes.size() && operations.size() < max_operations; ++at) {
         auto& write = writes[at];
         const auto size = write.value.dump(-1, ' ', false, Json::error_handler_t::replace).size() +
-                          write.key.size() + bytes_around_a_value;
+                          write.key.size() + max_write_overhead_bytes;
         if (!operations.empty() && bytes + size > max_transaction_bytes) break;
         bytes += size;
         operations.push_back({write.key, write.value, 0});
@@ -175,31 +178,31 @@
     return operations;
 }
 
-// Pages into slots that no head names yet, as many as a transaction takes; the last carries the head.
-// False: leadership was lost meanwhile.
+// Writes pages to slots that the current head does not refer to, with as many transactions as needed; the
+// last one also writes the head. False: leadership was lost meanwhile.
 Task<bool> QuotaService::write_version(std::vector<VersionedQuotas::RecordWrite> writes) {
     for (std::size_t at = 0; at < writes.size();) {
         auto operations = next_transaction(writes, at);
         at += operations.size();
         std::optional<Json> head;
         if (at == writes.size()) head = writes.back().value;
-        const bool written = co_await write_until_on_record(std::move(operations), std::move(head));
+        const bool written = co_await write_until_durable(std::move(operations), std::move(head));
         if (!written) co_return false;
     }
     co_return true;
 }
 
-// Repeats one transaction until it is on record. `head`: the head record's value, if the transaction carries
+// Repeats one transaction until it is durable. `head`: value of the head record, if the transaction writes
 // it. False: leadership was lost meanwhile.
-Task<bool> QuotaService::write_until_on_record(std::vector<state::Operation> operations,
-                                               std::optional<Json> head) {
+Task<bool> QuotaService::write_until_durable(std::vector<state::Operation> operations,
+                                             std::optional<Json> head) {
     for (;;) {
         if (!host_.may_act()) co_return false;
         std::vector<state::Precondition> preconditions{services_.election.fencing_precondition()};
         auto result = co_await services_.state.compare_and_swap(std::move(preconditions), operations);
         if (result.outcome == Outcome::ok) co_return true;
         if (result.outcome == Outcome::conflict) {
-            // Not executed: the token was renewed meanwhile, or another leads.
+            // Not executed: the fencing token was refreshed meanwhile, or another node leads.
             services_.election.suspect_lost_leadership();
             co_await net::sleep_for(conflict_retry_pause);
             continue;
@@ -208,19 +211,20 @@
             co_await net::sleep_for(refused_retry_pause);
             continue;
         }
-        // It may still be applied. The new token puts an end to that; then the head tells.
+        // The transaction may still be executed. With a refreshed fencing token it can't be any more, and the
+        // head record then shows whether it was.
         while (host_.may_act()) {
             const bool refreshed = co_await services_.election.refresh_fencing_token();
             if (refreshed) break;
             co_await net::sleep_for(refused_retry_pause);
         }
-        if (!head) continue;  // pages that no head names may be written again
+        if (!head) continue;  // pages that no head refers to may be written again
         auto recorded = co_await services_.state.get(quota::head_key);
         if (recorded.outcome == Outcome::ok && recorded.value == *head) co_return true;
     }
 }
 
-// ---- what is in use ------------------------------------------------------------------------------------
+// ---- usage ---------------------------------------------------------------------------------------------
 
 std::vector<std::uint64_t> QuotaService::waiting_tasks_by_node() const {
     const auto& tree = host_.cluster.ledger().tree();
@@ -246,7 +250,7 @@
              {"tasks", ledger.tasks(id)},
              {"waiting", waiting_tasks}};
     if (!node.team.empty()) out["team"] = node.team;
-    // What an operator wrote, as it was written: by itself a team has nothing.
+    // The operator's entry as it was written; a team for which there is none has no such field.
     if (node.entry_index != quota::no_node) out["given"] = quota::to_json(tree.entries()[node.entry_index]);
     return out;
 }
--- a/src/api/quota_service.hpp
+++ b/src/api/quota_service.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Quotas between the state service, the leader and operators: how they are read, shown and changed.
+// Quota service of the leader: reads the recorded quotas, serves them to operators and applies their changes.
 #include <functional>
 #include <optional>
 #include <string>
@@ -14,40 +14,42 @@
 
 enum class QuotaReadStatus {
     ok,
-    none,       // never changed while running: the operator's file holds
-    unusable,   // the records can't be used, whoever reads them
-    no_answer,  // the service did not say: read again
+    none,       // no version was ever recorded: the operator's file applies
+    unusable,   // the records are invalid; reading them again does not help
+    no_answer,  // the state service did not answer: read again
 };
 
-// One version whole into `quotas`: pages are read before the head, and the head once more. `quotas` must live
-// until the coroutine has ended.
+// Reads one complete version into `quotas`: first all records, then the head again to detect a concurrent
+// change. `quotas` must live until the coroutine has ended.
 net::Task<QuotaReadStatus> read_quota_records(state::StateClient& state, std::size_t value_bytes,
                                               quota::VersionedQuotas& quotas);
 
-// Compares secrets without telling by the time it takes how much of them is the same.
+// Compares secrets in a time that doesn't depend on how many characters match, so that timing doesn't leak
+// them.
 bool equal_in_constant_time(const std::string& given, const std::string& expected);
 
-// The quotas of one term of leadership. It owns the version in force and sees to it that only one change is
-// written at a time; the cluster's ledger holds the tree that follows from that version.
+// The quotas of one term. Owns the version in force and serializes changes; the cluster's ledger holds the
+// quota tree that is built from that version.
 //
-// Coroutines run on the node's io thread and keep a reference to the service: whoever awaits them keeps the
-// term alive.
+// Coroutines run on the node's io thread and refer to the service. The caller that awaits one must keep the
+// term's leader alive.
 class QuotaService {
   public:
     struct Host {
         placement::Cluster& cluster;
-        std::function<bool()> may_act;         // whether this node leads, at this moment
-        std::function<void()> wake_placement;  // other limits: another round
+        std::function<bool()> may_act;         // whether this node holds a valid leader lease now
+        std::function<void()> wake_placement;  // called when limits have changed
     };
     QuotaService(Services services, Host host) : services_(services), host_(std::move(host)) {}
 
-    // Reads the version on record, once per term, before anything is placed. Returns only when the state
-    // service has answered; what can't be used leaves the operator's file in force.
+    // Reads the recorded version, once per term, before any task is placed. Returns only when the state
+    // service has answered. If the records are invalid, the operator's file stays in force.
     net::Task<> recover();
-    // An operator's change, answered once it is on record. Idempotent by the change's nonce. While it waits
-    // for the state service, leadership may be lost: then it answers 503, and the change may have been made.
+    // Applies an operator's change and answers once it is durable. A repeated change with the same nonce is
+    // applied once. If leadership is lost meanwhile the answer is 503, and the change may have been made.
     net::Task<net::Response> change(wire::Json body);
-    // What is in use, of at most `page` nodes after node `since`; with the first page teams and history, too.
+    // The usage of at most `page` quota nodes, from node `since` on. The first page also has teams and
+    // history.
     net::Response page(std::uint64_t since, std::uint64_t page) const;
     std::uint64_t version() const { return quotas_.version(); }
 
@@ -57,8 +59,8 @@
     net::Task<bool> write_version(std::vector<quota::VersionedQuotas::RecordWrite> writes);
     std::vector<state::Operation> next_transaction(
         const std::vector<quota::VersionedQuotas::RecordWrite>& writes, std::size_t from) const;
-    net::Task<bool> write_until_on_record(std::vector<state::Operation> operations,
-                                          std::optional<wire::Json> head);
+    net::Task<bool> write_until_durable(std::vector<state::Operation> operations,
+                                        std::optional<wire::Json> head);
     std::vector<std::uint64_t> waiting_tasks_by_node() const;
     wire::Json node_json(quota::NodeId id, std::uint64_t waiting_tasks) const;
 
--- a/src/api/record_writer.cpp
+++ b/src/api/record_writer.cpp
@@ -10,19 +10,21 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Starts go at once. What running jobs have done is written a few times a second, and takes a quarter of the
-// state service's rate at most: with many jobs it once filled every transaction, and starts waited.
+// Starts of tasks are written at once. Progress of running jobs is written at most four times a second and
+// takes at most a quarter of the state service's write rate: without this bound, the progress of many jobs
+// filled every transaction and delayed starts.
 constexpr std::chrono::milliseconds min_progress_interval{250};
 constexpr double progress_share_of_rate = 0.25;
-// How long to sleep where nothing wakes it, or nothing can be written now.
+// How long the write loop sleeps while nothing is pending, or while it must not or cannot write.
 constexpr std::chrono::milliseconds idle_wait{1000}, progress_wait{60}, not_leading_pause{100};
 constexpr std::chrono::milliseconds conflict_pause{50}, refused_pause{100}, token_refresh_pause{200};
 }  // namespace
 
 bool RecordWriter::progress_due() const {
     const auto rate = std::max(1.0, progress_share_of_rate * services_.settings.state_writes_per_s);
-    const auto spread = secs(static_cast<double>(host_.cluster.changes()) / rate);
-    return Clock::now() - progress_written_ >= std::max<Clock::duration>(min_progress_interval, spread);
+    const auto min_interval_for_changes = secs(static_cast<double>(host_.cluster.changes()) / rate);
+    return Clock::now() - progress_written_ >=
+           std::max<Clock::duration>(min_progress_interval, min_interval_for_changes);
 }
 
 Task<> RecordWriter::run() {
@@ -72,11 +74,13 @@
     co_await net::sleep_for(pause);
 }
 
-// It may still be applied later, over newer values: a new token makes sure that it can't.
+// A transaction with an unknown outcome may still be executed later and overwrite newer values. With a new
+// fencing token its precondition fails, so the token is refreshed before the next transaction.
 Task<> RecordWriter::fence_unknown_write() {
-    spdlog::info("a transaction got no answer: the token is renewed before the next");
-    // A loop of its own, not `while (!co_await ...)` among other awaits: GCC 12 resumed such a frame at no
-    // valid point, and the process ended.
+    spdlog::info(
+        "state service: no response to a transaction, the fencing token is refreshed before the next one");
+    // The await is a statement of its own: with `while (!co_await ...)` beside other awaits, GCC 12 resumed
+    // the coroutine frame at an invalid point and the process crashed.
     for (;;) {
         const bool refreshed = co_await services_.election.refresh_fencing_token();
         if (refreshed) break;
--- a/src/api/record_writer.hpp
+++ b/src/api/record_writer.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Writes the cluster's pending records to the state service, one transaction after the other.
+// Writes the scheduler's pending records to the state service, one transaction after the other.
 #include <functional>
 #include <vector>
 
@@ -8,23 +8,23 @@
 
 namespace barrowrun::api {
 
-// One per term of leadership, and the only one that writes the cluster's records. Every transaction is fenced
-// by the leader key's version, so that a former leader's is refused.
+// Each term has one record writer, the only component that writes the scheduler's records. The version of the
+// leader key is a precondition of every transaction, so the state service rejects those of a former leader.
 class RecordWriter {
   public:
     struct Host {
         placement::Cluster& cluster;
         TimePoint acquired;              // when the term began
-        std::function<bool()> may_act;   // whether this node leads, at this moment
-        std::function<void()> on_write;  // a transaction is on record: what waited for it may go on
+        std::function<bool()> may_act;   // whether this node holds a valid leader lease now
+        std::function<void()> on_write;  // called after each durable transaction
     };
     RecordWriter(Services services, Host host)
         : services_(services), host_(std::move(host)), signal_(services.io) {}
 
-    // Something may have to be written.
+    // Interrupts the wait for pending records.
     void wake() { signal_.wake(); }
-    // Until the term ends. At each suspension the cluster's state and the right to lead may change: both are
-    // looked at anew before the next transaction is put together.
+    // Write loop, runs until the term ends. Scheduler state and leadership may change at each suspension, so
+    // both are checked again before the next transaction is assembled.
     net::Task<> run();
 
   private:
@@ -36,7 +36,7 @@
     Services services_;
     Host host_;
     net::Signal signal_;
-    TimePoint progress_written_{};  // when progress of running jobs was last taken along
+    TimePoint progress_written_{};  // when a transaction last included progress of running jobs
 };
 
 }  // namespace barrowrun::api
--- a/src/api/recovery.cpp
+++ b/src/api/recovery.cpp
@@ -1,4 +1,5 @@
-// A term begins: the records are read, and every known worker hears of the new token.
+// Recovery at the start of a term: the leader reads the records and sends its fencing token to every known
+// worker.
 #include <spdlog/spdlog.h>
 
 #include "api/leader.hpp"
@@ -6,21 +7,21 @@
 namespace barrowrun::api {
 using state::Outcome;
 namespace {
-// Of the processor's time at once, while the records are read: heartbeats are answered and the leader's lease
-// is extended in between.
-constexpr std::chrono::milliseconds slice{4};
-// Until what could not be read is read once more.
+// Longest time for which recovery runs without yielding. Between two slices the node answers heartbeats and
+// extends the leader's lease.
+constexpr std::chrono::milliseconds max_slice{4};
+// Pause before a failed read is repeated.
 constexpr std::chrono::milliseconds read_retry_pause{200};
 }  // namespace
 using namespace std::chrono_literals;
 
-// Suspends while it reads, and between slices of the processor's time. Heartbeats that come in meanwhile are
-// kept; nobody else looks at the cluster before it is whole (`recovered_`), so that nobody decides on a part
-// of the records.
+// Suspends while it reads records, and between slices of processor time. Heartbeats that arrive meanwhile are
+// stored. No other coroutine reads `cluster_` before `recovered_` is set, so that no decision is based on a
+// part of the records.
 Task<> Leader::recover() {
-    const auto begun = Clock::now();
-    // First of all: parts of other cells' jobs may have to be gone by a moment, and until it is known
-    // whether, no heartbeat is answered.
+    const auto started = Clock::now();
+    // Delegation records are read first: shards of other cells' jobs may have deadlines here, and no
+    // heartbeat is answered until the deadlines are known.
     if (cell_delegations_) co_await read_delegation_records();
     const auto records = co_await read_snapshot();
     co_await quotas_.recover();
@@ -28,12 +29,12 @@
     co_await recover_catalog();
     const auto now = Clock::now();
     const auto wall = wall_ms();
-    net::Slices slices(slice);
+    net::Slices slices(max_slice);
     const auto jobs = co_await recover_jobs(records, now, wall, slices);
     if (cell_delegations_) {
-        // Before the machines: what these run of other cells' jobs belongs to a job that is known.
+        // Before the machines: tasks of other cells' jobs on these machines must belong to a known job.
         co_await recover_delegations(now, wall);
-        spawn("cells", cell_delegations_->run());
+        spawn("cell delegations", cell_delegations_->run());
     }
     co_await recover_machines(records.shards, wall, slices);
     recover_provisioning_requests(records.provisioning_requests);
@@ -41,9 +42,11 @@
     if (cell_delegations_) cell_delegations_->stop_before_deadlines();
     recovered_ = true;
     worker_monitor_.recovered(now);
-    spdlog::info("took over after {:.0f} ms: {} active jobs, {} machines on record, {} rentals open",
-                 Seconds(now - begun).count() * 1000, jobs, cluster_.machines().size(),
-                 provisioner_.open_requests());
+    spdlog::info(
+        "recovery finished after {:.0f} ms: {} active jobs, {} machines on record, {} open "
+        "provisioning requests",
+        Seconds(now - started).count() * 1000, jobs, cluster_.machines().size(),
+        provisioner_.open_requests());
     fence_known_workers(now);
     start_loops();
 }
@@ -67,7 +70,7 @@
 Task<state::Snapshot> Leader::read_snapshot() {
     auto records = co_await services_.state.snapshot();
     while (!records) {
-        spdlog::warn("the records could not be read, once more");
+        spdlog::warn("recovery: the records could not be read from the state service, reading them again");
         co_await net::sleep_for(read_retry_pause);
         records = co_await services_.state.snapshot();
     }
@@ -83,23 +86,25 @@
     cluster_.set_types(services_.catalog);
 }
 
-// Gives the number of active jobs.
+// Returns the number of active jobs.
 Task<std::size_t> Leader::recover_jobs(const state::Snapshot& records, TimePoint now, std::int64_t wall,
                                        net::Slices& slices) {
-    std::map<std::string, const Json*> progress_of;
-    for (auto& item : records.progress.items) progress_of[item.key.substr(9)] = &item.value;
+    std::map<std::string, const Json*> progress_by_job;
+    for (auto& item : records.progress.items) progress_by_job[item.key.substr(9)] = &item.value;
     std::size_t count = 0;
     for (auto& item : records.jobs.items) {
         co_await slices.pause();
         auto record = state::parse_job_record(item.value);
         if (!record) {
-            spdlog::error("the record {} cannot be read", item.key);
+            spdlog::error("record {}: not a valid job record, the job is skipped", item.key);
             continue;
         }
         std::optional<state::Progress> progress;
-        if (auto it = progress_of.find(record->spec.id); it != progress_of.end()) {
+        if (auto it = progress_by_job.find(record->spec.id); it != progress_by_job.end()) {
             progress = state::parse_progress(*it->second, record->spec.tasks);
-            if (!progress) spdlog::error("the record progress/{} cannot be read", record->spec.id);
+            if (!progress)
+                spdlog::error("record progress/{}: not a valid progress record, it is ignored",
+                              record->spec.id);
         }
         cluster_.add_job(*record, progress ? &*progress : nullptr, now, wall);
         ++count;
@@ -114,7 +119,10 @@
         auto number = state::parse_assignment_shard_key(item.key);
         auto machines = state::parse_assignment_shard(item.value);
         if (!number || !machines) {
-            spdlog::error("the record {} cannot be read: nothing is started for a lease", item.key);
+            spdlog::error(
+                "record {}: not a valid assignment shard, no task is started in the first lease period of "
+                "the term",
+                item.key);
             cluster_.note_unreadable_record(number, acquired_ + lease);
             continue;
         }
@@ -128,7 +136,7 @@
             provisioner_.recover_request(item.key.substr(6), *record);
 }
 
-// Those that came in meanwhile, too, and more of them while these are applied.
+// Applies the heartbeats stored during recovery, including those that arrive while it suspends.
 Task<> Leader::apply_pending_heartbeats(TimePoint now, net::Slices& slices) {
     while (!pending_heartbeats_.empty()) {
         auto first = pending_heartbeats_.extract(pending_heartbeats_.begin());
@@ -141,8 +149,8 @@
     renewals_before_recovery_.clear();
 }
 
-// Every known worker hears of the new token at once: that fences the predecessor and brings fresh heartbeats.
-// Machines with replicas first.
+// Sends the new fencing token to every known worker: this fences the predecessor, and the responses carry the
+// workers' current state. Machines that run replicas of services come first.
 void Leader::fence_known_workers(TimePoint now) {
     std::deque<std::string> names;
     for (auto& [name, machine] : cluster_.machines()) {
@@ -157,10 +165,10 @@
 }
 
 void Leader::start_loops() {
-    spawn("place", placement_loop());
-    spawn("write", record_writer_.run());
-    spawn("tick", tick_loop());
-    spawn("watch jobs", watch_jobs());
+    spawn("placement loop", placement_loop());
+    spawn("record writer", record_writer_.run());
+    spawn("tick loop", tick_loop());
+    spawn("job watch", watch_jobs());
     provisioner_.start();
 }
 
--- a/src/api/responses.hpp
+++ b/src/api/responses.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Answers that several routes give.
+// Request and response bodies that several routes use.
 #include <string>
 
 #include "net/http_server.hpp"
--- a/src/api/services.hpp
+++ b/src/api/services.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What the parts of a controller node share: clients of the services around it, its settings, its election.
+// Dependencies shared by the components of a controller node: clients, settings and the election.
 #include <vector>
 
 #include "election/election.hpp"
@@ -11,7 +11,7 @@
 
 namespace barrowrun::api {
 
-// References only: the node owns all of it, and outlives every term of leadership.
+// Holds references only. The node owns the objects and outlives every term of leadership.
 struct Services {
     net::asio::io_context& io;
     const settings::Settings& settings;
@@ -20,8 +20,8 @@
     net::HttpClient& workers;
     net::HttpClient& peers;
     election::Election& election;
-    std::vector<wire::MachineType>& catalog;  // machine types as last known
-    const leases::LeaseRenewer& renewer;      // what this node knows of cancelled jobs without the records
+    std::vector<wire::MachineType>& catalog;  // machine types as last read
+    const leases::LeaseRenewer& renewer;      // worker leases that this node may renew before recovery
 };
 
 }  // namespace barrowrun::api
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -1,4 +1,4 @@
-// Submissions: any node accepts a job, once it is on record.
+// Submission of jobs: any node accepts a job, and answers once the job's record is durable.
 #include <spdlog/spdlog.h>
 
 #include "api/node.hpp"
@@ -11,11 +11,11 @@
 
 namespace {
 constexpr int max_write_attempts = 3;
-// Between them, while the state service's rate is exceeded for a moment.
+// Pause between two attempts, for a short excess of the state service's rate limit.
 constexpr std::chrono::milliseconds write_retry_pause{150};
-// A user waits for 5 s; what another node needs has to fit as well.
+// The client waits 5 s for an answer; the time for forwarding to another node must fit into that as well.
 constexpr std::chrono::milliseconds write_deadline{1200}, peer_deadline{1500};
-// What a peer last said of the queues counts for so long.
+// The queue length that a peer last reported is valid for this long.
 constexpr std::chrono::seconds peer_status_lifetime{5};
 constexpr int retry_after_full_queues_s = 10;
 }  // namespace
@@ -24,15 +24,15 @@
     auto decoded = wire::decode(body);
     if (!decoded || !decoded->is_object()) co_return error_response(400, "the body is not a MessagePack map");
     auto parsed = wire::parse_submission(*decoded);
-    if (auto* wrong = std::get_if<std::string>(&parsed)) {
-        // A known job gets its state, whatever the repeated body says.
+    if (auto* error_text = std::get_if<std::string>(&parsed)) {
+        // A repeated submission of a known job is answered with its state, even if the body is invalid.
         auto id = wire::text(*decoded, "name_id");
         if (id && wire::valid_job_id(*id)) {
             auto lookup = co_await look_up_job(*id);
             if (!lookup.conclusive) co_return error_response(503, "the state service does not answer", 1);
             if (lookup.status) co_return Response{200, wire::accepted_json(*id, lookup.status->state)};
         }
-        co_return error_response(400, *wrong);
+        co_return error_response(400, *error_text);
     }
     co_return co_await submit_job(std::get<wire::JobSpec>(std::move(parsed)), false);
 }
@@ -60,8 +60,8 @@
 
 std::optional<Node::Rejection> Node::rejected_by_queue_bound(const wire::JobSpec& spec) {
     bool admitted = true;
-    if (auto* leads = acting_leader()) {
-        if (leads->recovered()) admitted = leads->admits(spec.tasks);
+    if (auto* leader = acting_leader()) {
+        if (leader->recovered()) admitted = leader->admits(spec.tasks);
     } else {
         for (auto& peer : election_.peers())
             if (peer.leading && Clock::now() - peer.heard < peer_status_lifetime &&
@@ -75,8 +75,8 @@
 Task<std::optional<Node::Rejection>> Node::find_rejection(const wire::JobSpec& spec) {
     auto rejection = rejected_by_settings(spec);
     if (rejection) co_return rejection;
-    auto wrong = co_await check_project(spec);
-    if (wrong) co_return Rejection{422, std::move(*wrong)};
+    auto error_text = co_await check_project(spec);
+    if (error_text) co_return Rejection{422, std::move(*error_text)};
     rejection = rejected_by_machine_types(spec);
     if (rejection) co_return rejection;
     rejection = rejected_by_queue_bound(spec);
@@ -84,7 +84,7 @@
 }
 
 Task<Response> Node::respond_rejected(std::string id, Rejection rejection) {
-    // What is known already is never refused.
+    // A repeated submission of a known job is answered with its state, never rejected.
     auto lookup = co_await look_up_job(id);
     if (!lookup.conclusive) co_return error_response(503, "the state service does not answer", 1);
     if (lookup.status) co_return Response{200, wire::accepted_json(id, lookup.status->state)};
@@ -101,16 +101,17 @@
         operations.push_back({state::job_key(id), state::to_json(record), 0});
         auto term = leader_;
         const bool recovered_before = term && term->recovered();
-        // Not behind the leader's own writes: while the fleet is busy those wait for most of a second.
+        // Not queued behind the leader's own writes, which wait most of a second while the fleet is busy.
         auto result = co_await state_.compare_and_swap(preconditions, operations, write_deadline,
                                                        state::Throttle::charge_only);
         if (result.outcome == Outcome::ok) {
-            // A term that has read the records since may know the job already, and that it is over.
+            // A leader that read the records during the write may know the job already, even as finished, so
+            // the job is only handed over directly to a leader that had recovered before.
             if (recovered_before && acting_leader() && leader_ == term)
                 term->job_accepted_locally(record);
             else
                 net::asio::co_spawn(io_, notify_leader(id), net::asio::detached);
-            spdlog::debug("job {} is accepted", id);
+            spdlog::debug("job {}: accepted", id);
             co_return Response{201, wire::accepted_json(id, wire::JobState::queued)};
         }
         if (result.outcome == Outcome::conflict) {
@@ -122,7 +123,7 @@
             co_return error_response(503, "not now", 1);
         }
         if (result.outcome == Outcome::unknown) {
-            // It may have been written: read back.
+            // The outcome is unknown: the record is read back.
             auto lookup = co_await look_up_job(id);
             if (!lookup.status) co_return std::nullopt;
             net::asio::co_spawn(io_, notify_leader(id), net::asio::detached);
@@ -164,7 +165,7 @@
         co_await term->job_accepted(id);
         co_return;
     }
-    // If this is lost, the leader finds the record by its watch.
+    // If this notice is lost, the leader still finds the record with its watch.
     co_await forward_to_leader("/peer/accepted", job_id_body(id), 1000ms);
 }
 
--- a/src/api/transaction_limits.hpp
+++ b/src/api/transaction_limits.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// How much goes into one transaction of the state service.
+// Size limits of transactions with the state service.
 #include <algorithm>
 #include <cstddef>
 
@@ -7,13 +7,15 @@
 
 namespace barrowrun::api {
 
-// The service takes bodies of 64 KiB; the rest is for what goes around keys and values.
+// The service accepts request bodies of up to 64 KiB; the difference is left for the encoding around keys and
+// values.
 inline constexpr std::size_t max_transaction_bytes = 48 * 1024;
 
-// Operations of one transaction, whatever a small setting says: some belong together.
+// Most operations in one transaction. At least four, even if the setting is smaller, because some operations
+// must be in the same transaction.
 inline std::size_t max_transaction_operations(const placement::Config& config) {
-    constexpr std::size_t at_least = 4;
-    return std::max(at_least, config.txn_ops);
+    constexpr std::size_t min_operations = 4;
+    return std::max(min_operations, config.txn_ops);
 }
 
 }  // namespace barrowrun::api
--- a/src/api/worker_monitor.hpp
+++ b/src/api/worker_monitor.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// Whether workers reach this leader, and which silent ones are probed, fenced or given up.
+// Monitors the leader's contact with workers and decides which silent machines are probed, fenced or
+// returned.
 #include <functional>
 #include <string>
 #include <vector>
@@ -11,54 +12,55 @@
 
 namespace barrowrun::api {
 
-// Probes of machines beside their heartbeats, at once: a share of what a process with a fraction of a core
-// can do.
+// Most probes or fencing requests that are started at once. The controller has a fraction of a core and must
+// also answer heartbeats.
 inline constexpr int max_concurrent_probes = 16;
 
-// Owns what a term of leadership knows of its contact with workers. It decides; `Host` carries out, without
-// waiting. Times are on the node's steady clock.
+// Tracks the contact with workers during one term. It only decides; the callbacks in `Host` start the
+// requests and return at once. All times are on the node's steady clock.
 class WorkerMonitor {
   public:
     struct Host {
         placement::Cluster& cluster;
         const state::StateClient& state;
-        std::function<void(fleet::Machine&)> probe;             // asks for its status
-        std::function<void(const std::string& machine)> fence;  // sends it the term's fencing token
+        std::function<void(fleet::Machine&)> probe;             // requests the machine's status
+        std::function<void(const std::string& machine)> fence;  // sends the current fencing token
         std::function<void(std::vector<std::string> machines)> return_silent;
     };
     enum class Contact { sufficient, lost };
 
     WorkerMonitor(const placement::Config& config, TimePoint acquired, Host host);
 
-    // The records were read: silence counts from here.
+    // Recovery has finished: the silence of workers is measured from `now`.
     void recovered(TimePoint now) { last_heartbeat_ = now; }
-    // A worker's heartbeat, sent to this node or forwarded by another.
+    // A worker's heartbeat has arrived. `direct`: sent to this node, not forwarded by another.
     void heartbeat_received(TimePoint now, bool direct);
-    // A worker answered a request of this node.
+    // A worker has answered a request of this node.
     void worker_answered(TimePoint now) { reachability_.heard_directly(now); }
-    // A tick that was due at a time came at another: a process that is behind itself hears late.
+    // A tick that was due at `due` ran at `now`. After a long delay, heartbeats that are already in the
+    // sockets are read late, and silence is ignored for a while.
     void note_delay(TimePoint due, TimePoint now);
-    // Once a tick. Lost: no worker reaches this leader, and another node would lead better.
+    // Called once per tick. `lost`: no worker reaches this leader, which should step down for another node.
     Contact check(TimePoint now);
 
   private:
     struct FleetContact {
-        std::size_t up = 0;         // machines with a current lease
-        bool any_expected = false;  // some machine is up, or may hold a task
+        std::size_t up = 0;         // machines whose worker has an unexpired lease
+        bool any_expected = false;  // a machine is up or may hold a task, so heartbeats are expected
     };
     FleetContact contact_unreachable(TimePoint now);
     void return_silent(TimePoint now);
-    bool only_peers_hear_workers(TimePoint now, std::size_t up);
-    bool no_worker_heard(TimePoint now) const;
+    bool heartbeats_only_forwarded(TimePoint now, std::size_t up);
+    bool all_workers_silent(TimePoint now) const;
     void probe_some_reachable();
 
     TimePoint acquired_;
-    Clock::duration heartbeat_patience_;
+    Clock::duration heartbeat_timeout_;
     Host host_;
     fleet::FailureDetector failure_detector_;
     fleet::LeaderReachability reachability_;
     TimePoint last_heartbeat_{}, reachability_probed_{};
-    TimePoint lagging_until_{};  // until then what came in while the process stood still is being read
+    TimePoint catching_up_until_{};  // messages that arrived during a delay are read until then
 };
 
 }  // namespace barrowrun::api
--- a/src/api/worker_routes.cpp
+++ b/src/api/worker_routes.cpp
@@ -1,4 +1,5 @@
-// Workers' heartbeats at a node that may or may not lead.
+// Route for worker heartbeats. The leader handles them; another node redirects the worker to the leader or
+// forwards its heartbeat.
 #include <spdlog/spdlog.h>
 
 #include "api/node.hpp"
@@ -16,10 +17,12 @@
     auto now = Clock::now();
     if (auto term = leader_; acting_leader())
         co_return co_await term->worker_heartbeat(std::move(*heartbeat), true);
-    // Cut off together with the worker: it keeps its lease for a while, and what it runs goes on.
+    // This node is partitioned from the leader and the state service together with the worker: it renews the
+    // worker's lease for a bounded time, so that running tasks continue.
     if (renewer_.may_renew_cut_off(*heartbeat, now, !state_.responsive(now))) {
         if (now - renewal_logged_ > 30s)
-            spdlog::info("cut off from leader and state service: this node keeps the leases of its zone");
+            spdlog::info(
+                "neither the leader nor the state service answers: this node keeps the leases of its zone");
         renewal_logged_ = now;
         if (leader_) leader_->lease_renewed(heartbeat->machine, now);
         co_return Response{200, wire::worker_heartbeat_answer(renewer_.fencing_token(), {})};
