--- a/src/api/leader.cpp
+++ b/src/api/leader.cpp
@@ -105,7 +105,7 @@
 // ---- jobs ----------------------------------------------------------------------------------------------
 
 void Leader::add_job(const state::JobRecord& record) {
-    // A delayed notice must not add a job again that has already finished in this term.
+    // A delayed notice must not add a job that has already finished in this term.
     if (cluster_.find_job(record.spec.id) || cluster_.finished_job(record.spec.id)) return;
     auto now = Clock::now();
     cluster_.add_job(record, nullptr, now, wall_ms());
--- a/src/api/leader.hpp
+++ b/src/api/leader.hpp
@@ -42,9 +42,9 @@
     // changes its state is not known yet.
     std::optional<wire::JobStatus> status(const std::string& id) const;
     Task<Response> cancel(std::string id);
-    // Another node accepted a job; its record is durable.
+    // A node accepted a job, and its record is durable: reads the record and adds the job.
     Task<> job_accepted(std::string id);
-    // This node accepted a job; its record is durable.
+    // This node accepted a job, and `record` is durable: adds the job.
     void job_accepted_locally(const state::JobRecord& record);
     bool admits(std::uint32_t tasks) const { return cluster_.queue().admits(tasks); }
     std::uint64_t waiting() const { return cluster_.queue().waiting(); }
@@ -53,8 +53,8 @@
     Response quota_page(std::uint64_t since, std::uint64_t page) const;
     Task<Response> change_quotas(Json change);
     std::optional<Json> explain(const std::string& id) const;
-    // Handles another node's heartbeat. Returns the grant for the response: which worker leases that node may
-    // renew until its next heartbeat. Nothing if there is no grant.
+    // Handles another node's heartbeat. Returns the grant for the response, which allows that node to renew
+    // worker leases while it is partitioned from the leader. Nothing if no grant may be given now.
     std::optional<leases::RenewalGrant> node_heartbeat(const std::string& node,
                                                        const leases::Heartbeat& heartbeat);
     std::optional<leases::RenewalGrant> grant() const;
