--- a/src/cells/delegation.cpp
+++ b/src/cells/delegation.cpp
@@ -3,13 +3,13 @@
 #include <algorithm>
 
 namespace barrowrun::cells {
-// ---- the origin ----
+// ---- origin ----
 
 DelegationOrigin::Action DelegationOrigin::next_action() const {
     if (pending_) return *pending_;
     if (!record_.open) return {};
     if (recalling_) return DelegationRecall{record_.epoch};
-    // Again while it is held, too: the answer tells what is done.
+    // The offer is repeated while the executor runs the shard, because the reply reports the finished tasks.
     return DelegationOffer{record_.epoch, record_.tasks, record_.deadline};
 }
 
@@ -29,15 +29,16 @@
 }
 
 bool DelegationOrigin::expire(DayTime now, std::chrono::milliseconds clock_error) {
-    // A later deadline whose record is in flight counts: it may be on record, and be found there by a
-    // successor that sends it.
+    // The shard is not reclaimed while a record with a later deadline is being written: the record may
+    // already be durable, and a new leader may read it and send the later deadline.
     if (pending_ || !record_.open || !record_.deadline || now <= *record_.deadline + clock_error)
         return false;
     close();
     return true;
 }
 
-// Ours again once that is on record: with what was done, or a successor would run it a second time.
+// The origin may run the tasks again once the closed record is durable. The record is written together with
+// the results, because a new leader would otherwise run the finished tasks a second time.
 void DelegationOrigin::close() {
     pending_.emplace();
     pending_->record.epoch = record_.epoch;
@@ -54,7 +55,7 @@
 void DelegationOrigin::on_reply(const DelegationReply& reply) {
     if (!record_.open || pending_ || reply.epoch != record_.epoch) return;
     if (reply.status == DelegationReply::Status::undecided) return;
-    // Of a task that the shard doesn't have it can't know.
+    // The executor can't have results of a task that is not in the shard.
     reply.done.each([&](std::uint32_t i) {
         if (record_.tasks.contains(i)) done_.insert(i);
     });
@@ -62,7 +63,7 @@
     if (reply.status == DelegationReply::Status::closed) close();
 }
 
-// ---- the executor ----
+// ---- executor ----
 
 DelegationReply DelegationExecutor::reply() const {
     return {record_.executing ? DelegationReply::Status::executing : DelegationReply::Status::closed,
@@ -76,7 +77,8 @@
             deadline_ = std::max(*deadline_, *offer.deadline);
         return reply();
     }
-    // A new epoch while the last is not over: its origin has forgotten what it knew. Nothing is decided.
+    // The origin has lost its record if it opens a new epoch while the last one is open, so the executor does
+    // not decide.
     if (record_.executing) return DelegationReply{DelegationReply::Status::undecided, offer.epoch, {}};
     if (!pending_ || pending_->epoch < offer.epoch)
         pending_ = ExecutorRecord{offer.epoch, may_accept, offer.tasks, {}, offer.deadline};
@@ -92,12 +94,12 @@
         return std::nullopt;
     }
     if (record_.executing) return DelegationReply{DelegationReply::Status::undecided, recall.epoch, {}};
-    // Of a epoch that was never heard of, or whose acceptance is being written: the refusal that its copies
-    // will meet.
+    // The epoch is unknown, or its acceptance is being written. For an unknown epoch a refusal is recorded,
+    // so that a late copy of the offer is refused.
     if (!pending_ || pending_->epoch < recall.epoch) {
         pending_ = ExecutorRecord{recall.epoch, false, {}, {}, {}};
     } else if (pending_->epoch == recall.epoch && pending_->executing) {
-        // Its record may be in flight: it is refused once that is known.
+        // The acceptance may already be durable, so the shard is stopped once the write has finished.
         stopping_ = true;
     }
     return std::nullopt;
@@ -118,18 +120,18 @@
     if (!record_.executing) return std::nullopt;
     auto done = record_.done;
     done.insert(done_);
-    const bool over = stopping_ && machines_cleared_;
-    // A later deadline need not be on record before it counts: a successor that knows the earlier one stops
-    // sooner.
-    if (!over && done.size() == record_.done.size() && deadline_ == record_.deadline) return std::nullopt;
-    return ExecutorRecord{record_.epoch, !over, record_.tasks, std::move(done), deadline_};
+    const bool closed = stopping_ && machines_cleared_;
+    // A later deadline may be used before it is recorded: a new leader that reads the earlier one only stops
+    // the shard sooner.
+    if (!closed && done.size() == record_.done.size() && deadline_ == record_.deadline) return std::nullopt;
+    return ExecutorRecord{record_.epoch, !closed, record_.tasks, std::move(done), deadline_};
 }
 
 void DelegationExecutor::on_recorded(const ExecutorRecord& record) {
-    const bool another = record.epoch != record_.epoch;
+    const bool new_epoch = record.epoch != record_.epoch;
     record_ = record;
     if (pending_ && pending_->epoch <= record.epoch) pending_.reset();
-    if (another) {
+    if (new_epoch) {
         done_ = {};
         machines_cleared_ = true;
         deadline_ = record_.deadline;
--- a/src/cells/records.cpp
+++ b/src/cells/records.cpp
@@ -2,17 +2,17 @@
 
 namespace barrowrun::cells {
 namespace {
-// A moment of the day, as records and requests carry it; one that is no moment is malformed.
+// The optional deadline of a record or a request, in ms of wall-clock time.
 struct Deadline {
-    bool bad = false;
-    std::optional<DayTime> at;
+    bool malformed = false;
+    std::optional<DayTime> time;
 };
 Deadline parse_deadline(const Json& value) {
-    const Json* v = wire::find(value, "until");
-    if (!v) return {};
-    constexpr std::uint64_t most = 1ULL << 52;
+    const Json* field = wire::find(value, "until");
+    if (!field) return {};
+    constexpr std::uint64_t max_ms = 1ULL << 52;
     auto ms = wire::count(value, "until");
-    if (!ms || *ms > most) return {true, {}};
+    if (!ms || *ms > max_ms) return {true, {}};
     return {false, DayTime(std::chrono::milliseconds(static_cast<std::int64_t>(*ms)))};
 }
 void put_deadline(Json& out, const std::optional<DayTime>& deadline) {
@@ -20,8 +20,8 @@
 }
 
 std::optional<IndexSet> index_set(const Json& value, const char* name) {
-    const Json* v = wire::find(value, name);
-    return v ? IndexSet::parse(*v, wire::max_tasks) : std::nullopt;
+    const Json* field = wire::find(value, name);
+    return field ? IndexSet::parse(*field, wire::max_tasks) : std::nullopt;
 }
 }  // namespace
 
@@ -35,11 +35,11 @@
     return "turns/" + job;
 }
 
-Json to_json(const StoredOrigin& l) {
-    Json out{{"to", l.to}, {"turn", l.record.epoch}, {"open", l.record.open}};
-    if (!l.record.open) return out;
-    out["tasks"] = l.record.tasks.json(wire::max_tasks);
-    put_deadline(out, l.record.deadline);
+Json to_json(const StoredOrigin& origin) {
+    Json out{{"to", origin.to}, {"turn", origin.record.epoch}, {"open", origin.record.open}};
+    if (!origin.record.open) return out;
+    out["tasks"] = origin.record.tasks.json(wire::max_tasks);
+    put_deadline(out, origin.record.deadline);
     return out;
 }
 
@@ -54,21 +54,21 @@
     out.record.open = *open;
     if (!*open) return out;
     auto tasks = index_set(value, "tasks");
-    auto end = parse_deadline(value);
-    if (!tasks || tasks->empty() || end.bad) return std::nullopt;
+    auto deadline = parse_deadline(value);
+    if (!tasks || tasks->empty() || deadline.malformed) return std::nullopt;
     out.record.tasks = std::move(*tasks);
-    out.record.deadline = end.at;
+    out.record.deadline = deadline.time;
     return out;
 }
 
-Json to_json(const StoredExecutor& h) {
-    Json out{{"owner", h.owner},
-             {"turn", h.record.epoch},
-             {"tasks", h.record.tasks.json(wire::max_tasks)},
-             {"done", h.record.done.json(wire::max_tasks)},
-             {"job", wire::submission_json(h.spec)},
-             {"accepted", h.accepted_ms}};
-    put_deadline(out, h.record.deadline);
+Json to_json(const StoredExecutor& executor) {
+    Json out{{"owner", executor.owner},
+             {"turn", executor.record.epoch},
+             {"tasks", executor.record.tasks.json(wire::max_tasks)},
+             {"done", executor.record.done.json(wire::max_tasks)},
+             {"job", wire::submission_json(executor.spec)},
+             {"accepted", executor.accepted_ms}};
+    put_deadline(out, executor.record.deadline);
     return out;
 }
 
@@ -78,8 +78,8 @@
     auto tasks = index_set(value, "tasks"), done = index_set(value, "done");
     const Json* job = wire::find(value, "job");
     auto accepted = wire::count(value, "accepted");
-    auto end = parse_deadline(value);
-    if (!owner || !epoch || !tasks || !done || !job || !accepted || end.bad) return std::nullopt;
+    auto deadline = parse_deadline(value);
+    if (!owner || !epoch || !tasks || !done || !job || !accepted || deadline.malformed) return std::nullopt;
     auto spec = wire::parse_submission(*job);
     if (!std::holds_alternative<wire::JobSpec>(spec)) return std::nullopt;
     StoredExecutor out;
@@ -88,7 +88,7 @@
     out.record.executing = true;
     out.record.tasks = std::move(*tasks);
     out.record.done = std::move(*done);
-    out.record.deadline = end.at;
+    out.record.deadline = deadline.time;
     out.spec = std::get<wire::JobSpec>(std::move(spec));
     out.accepted_ms = static_cast<std::int64_t>(*accepted);
     return out;
@@ -108,13 +108,13 @@
     return out;
 }
 
-Json to_json(const DelegationRequest& r) {
-    Json out{{"from", r.from}, {"id", r.job}, {"turn", r.epoch}};
-    if (!r.spec) return out;
-    out["job"] = wire::submission_json(*r.spec);
-    out["tasks"] = r.tasks.json(wire::max_tasks);
-    out["accepted"] = r.accepted_ms;
-    put_deadline(out, r.deadline);
+Json to_json(const DelegationRequest& request) {
+    Json out{{"from", request.from}, {"id", request.job}, {"turn", request.epoch}};
+    if (!request.spec) return out;
+    out["job"] = wire::submission_json(*request.spec);
+    out["tasks"] = request.tasks.json(wire::max_tasks);
+    out["accepted"] = request.accepted_ms;
+    put_deadline(out, request.deadline);
     return out;
 }
 
@@ -131,10 +131,11 @@
     auto spec = wire::parse_submission(*job);
     auto tasks = index_set(value, "tasks");
     auto accepted = wire::count(value, "accepted");
-    auto end = parse_deadline(value);
-    if (!std::holds_alternative<wire::JobSpec>(spec) || !tasks || tasks->empty() || !accepted || end.bad)
+    auto deadline = parse_deadline(value);
+    if (!std::holds_alternative<wire::JobSpec>(spec) || !tasks || tasks->empty() || !accepted ||
+        deadline.malformed)
         return std::nullopt;
-    out.deadline = end.at;
+    out.deadline = deadline.time;
     out.spec = std::get<wire::JobSpec>(std::move(spec));
     if (out.spec->id != *id || tasks->next(out.spec->tasks)) return std::nullopt;
     out.tasks = std::move(*tasks);
@@ -142,26 +143,26 @@
     return out;
 }
 
-Json to_json(const DelegationReply& a) {
-    const char* word = a.status == DelegationReply::Status::executing ? "holds"
-                       : a.status == DelegationReply::Status::closed  ? "over"
-                                                                      : "later";
-    return {{"word", word}, {"turn", a.epoch}, {"done", a.done.json(wire::max_tasks)}};
+Json to_json(const DelegationReply& reply) {
+    const char* status = reply.status == DelegationReply::Status::executing ? "holds"
+                         : reply.status == DelegationReply::Status::closed  ? "over"
+                                                                            : "later";
+    return {{"word", status}, {"turn", reply.epoch}, {"done", reply.done.json(wire::max_tasks)}};
 }
 
 std::optional<DelegationReply> parse_delegation_reply(const Json& value) {
-    auto word = wire::text(value, "word");
+    auto status = wire::text(value, "word");
     auto epoch = wire::count(value, "turn");
     auto done = index_set(value, "done");
-    if (!word || !epoch || !done) return std::nullopt;
+    if (!status || !epoch || !done) return std::nullopt;
     DelegationReply out;
     out.epoch = *epoch;
     out.done = std::move(*done);
-    if (*word == "holds")
+    if (*status == "holds")
         out.status = DelegationReply::Status::executing;
-    else if (*word == "over")
+    else if (*status == "over")
         out.status = DelegationReply::Status::closed;
-    else if (*word != "later")
+    else if (*status != "later")
         return std::nullopt;
     return out;
 }
--- a/src/cells/records.hpp
+++ b/src/cells/records.hpp
@@ -1,14 +1,13 @@
 #pragma once
 /// Codecs of delegations: their records in the state service, and the messages between cells.
 ///
-///   lent/<job>    at the origin: epoch, executor, and the tasks while it is open
-///   held/<job>    at the executor: a shard that it executes, with the job itself
-///   turns/<job>   at the executor: the last closed epoch and its results. Kept like final states of jobs, so
-///   that a
-///                 late copy of an offer is refused
+///   lent/<job>    at the origin: epoch, executor cell, and the tasks while the epoch is open
+///   held/<job>    at the executor: a shard that the executor runs, with the job itself
+///   turns/<job>   at the executor: the last closed epoch and its results; kept in the same way as final
+///                 states of jobs, so that a late copy of an offer is refused
 ///
-/// The keys and the JSON names ("turn", "until", "word") are older than the names in the code and must not
-/// change.
+/// The keys and the JSON names ("turn", "until", "word") are stored and sent data and must not change,
+/// although they differ from the names in the code.
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -30,24 +29,25 @@
     OriginRecord record;
 };
 Json to_json(const StoredOrigin& origin);
-/// Nothing if the value is malformed, here and below.
+/// Returns nothing if the value is malformed, as do the other parse functions of this file.
 std::optional<StoredOrigin> parse_origin(const Json& value);
 
-/// The executor's record, with what it needs to run the shard.
+/// The executor's record, with the data that the executor needs to run the shard.
 struct StoredExecutor {
     std::string owner;  ///< the origin cell
     ExecutorRecord record;
     wire::JobSpec spec;
-    std::int64_t accepted_ms = 0;  ///< time of day at which the origin accepted the job
+    std::int64_t accepted_ms = 0;  ///< wall-clock time at which the origin accepted the job
 };
 Json to_json(const StoredExecutor& executor);
 std::optional<StoredExecutor> parse_executor(const Json& value);
 
-/// A closed epoch: its number and its results.
+/// Encodes a closed epoch: its number and its results.
 Json closed_epoch_json(const ExecutorRecord& record);
 std::optional<ExecutorRecord> parse_closed_epoch(const Json& value);
 
-/// A request of the origin's leader to a node of the executor: an offer if it has a job, otherwise a recall.
+/// A request of the origin's leader to a node of the executor cell: an offer if it has a job specification,
+/// otherwise a recall.
 struct DelegationRequest {
     std::string from, job;
     DelegationEpoch epoch = 0;
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -12,28 +12,29 @@
 using namespace std::chrono_literals;
 
 namespace {
-// After a failed read of the state service, or a failed step of a campaign.
+// Pause after a failed read of the state service or a failed step of a campaign.
 constexpr auto retry_pause = 200ms;
-// After a campaign whose outcome is not known: the key is read back.
+// Pause after a campaign with unknown outcome, before the leader key is read back.
 constexpr auto unknown_campaign_pause = 100ms;
-// Between two attempts to extend a lease, when the first one failed.
+// Pause after a failed attempt to extend the leader's lease.
 constexpr auto failed_extension_pause = 150ms;
-// The lease is short-lived by then: an extension that takes longer is of no use.
+// Much of the lease has passed by the first extension, so a later answer would be useless.
 constexpr auto first_extension_deadline = 800ms;
-// The leader waits 900 ms for the vote; whether the state service answers is found out within a third of it.
+// A third of the 900 ms that the leader waits for a vote; the rest is left for the vote itself.
 constexpr auto vote_read_deadline = 300ms;
-constexpr auto watch_length = 5s;
+constexpr auto watch_duration = 5s;
 constexpr auto heartbeat_interval = 1000ms;
-// While a predecessor's votes bind, peers are asked more often, and a changed answer is looked for sooner.
+// While votes of a predecessor process may be in force, this node sends heartbeats and rechecks whether it
+// may campaign more often.
 constexpr auto bound_heartbeat_interval = 200ms;
 constexpr auto bound_campaign_wait = 50ms;
 constexpr auto campaign_wait = 500ms;
 
-// A number that no other process of this node has: drawn at random.
+// Returns a random number that identifies this process among all processes of the node.
 std::string new_incarnation() {
-    std::mt19937 random{fresh_seed()};
-    std::uniform_int_distribution<std::uint64_t> any;
-    return std::to_string(any(random));
+    std::mt19937 generator{fresh_seed()};
+    std::uniform_int_distribution<std::uint64_t> distribution;
+    return std::to_string(distribution(generator));
 }
 }  // namespace
 
@@ -57,12 +58,12 @@
     }
 }
 
-// ---- without leadership --------------------------------------------------------------------------------
+// ---- follower and candidate ----------------------------------------------------------------------------
 
 Task<> Election::follow() {
-    // Listed rather than read: a listing tells the service's revision. A watch from the key's own version is
-    // refused once 10,000 changes have passed since, and would be asked again at once for as long as that
-    // leader leads.
+    // The key is listed rather than read, because a listing returns the service's revision. The state service
+    // refuses a watch from the key's own version once 10,000 changes have been made since, and this node
+    // would repeat the refused request without a pause for as long as that leader leads.
     auto listed = co_await state_.list(state::leader_key, state::Throttle::exempt);
     if (!listed.ok) {
         co_await net::sleep_for(retry_pause);
@@ -91,9 +92,9 @@
         co_await resume(*record, current->version);
 }
 
-Task<> Election::wait_to_campaign(Clock::duration longest) {
+Task<> Election::wait_to_campaign(Clock::duration max_wait) {
     const auto now = Clock::now();
-    co_await net::sleep_for(std::min<Clock::duration>(lease_voter_.may_campaign_at(now) - now, longest));
+    co_await net::sleep_for(std::min<Clock::duration>(lease_voter_.may_campaign_at(now) - now, max_wait));
 }
 
 Task<> Election::campaign() {
@@ -110,25 +111,25 @@
     else if (result.outcome == Outcome::conflict)
         co_await key_.revoke_lease();
     else
-        co_await net::sleep_for(unknown_campaign_pause);  // follow() reads back how it came out
+        co_await net::sleep_for(unknown_campaign_pause);  // follow() reads the outcome back
 }
 
-// An earlier process of this node led, and has certainly ended: its lease need not expire first.
+// An earlier process of this node led and has certainly ended, so its lease is revoked before it expires.
 Task<> Election::revoke_predecessor(state::LeaderRecord record) {
-    spdlog::info("{} led in an earlier process: that lease is revoked", node_);
+    spdlog::info("node {}: an earlier process of this node holds the leader key; revoking its lease", node_);
     co_await state_.revoke_lease(record.lease_id);
 }
 
-// A campaign whose answer was lost did succeed, or an earlier term of this process left its key. Votes that
-// were granted since then bind all the same.
+// Handles a leader key that belongs to this process although it does not lead: the answer to a successful
+// campaign was lost, or the key remained from an earlier term. Lease votes granted since then stay binding.
 Task<> Election::resume(state::LeaderRecord record, std::uint64_t version) {
     if (!lease_voter_.may_campaign(Clock::now())) {
         co_await wait_to_campaign(campaign_wait);
         co_return;
     }
     key_.attach(record.lease_id, record.refresh_count + 1);
-    // Under a token of its own: an earlier term of this process may have sent commands under the one on
-    // record, and a worker that knows it would seem to have settled them.
+    // The new term needs a new fencing token: an earlier term of this process may have sent commands under
+    // the recorded token, and a worker that reports this token would be taken to have settled those commands.
     auto result = co_await key_.write(version);
     bool leads = false;
     if (result.outcome == Outcome::ok) leads = co_await start_leading(result.revision);
@@ -136,21 +137,22 @@
 }
 
 Task<> Election::watch_leader(state::LeaderRecord record, std::uint64_t version, std::uint64_t revision) {
-    if (leader_name_ != record.node) spdlog::info("{} leads with fencing token {}", record.node, version);
+    if (leader_name_ != record.node)
+        spdlog::info("node {}: is the leader, fencing token {}", record.node, version);
     leader_name_ = record.node;
     leader_incarnation_ = record.incarnation;
-    auto change = co_await state_.watch(state::leader_key, revision, watch_length, state::Throttle::exempt);
+    auto change = co_await state_.watch(state::leader_key, revision, watch_duration, state::Throttle::exempt);
     if (!change.ok) {
         co_await net::sleep_for(retry_pause);
         co_return;
     }
     for (auto& event : change.events)
         if (event.key == state::leader_key && !event.value)
-            spdlog::info("{} no longer leads: its leader key is gone", leader_name_);
+            spdlog::info("node {}: is no longer the leader, its leader key was deleted", leader_name_);
 }
 
 Task<bool> Election::start_leading(std::uint64_t fencing_token) {
-    // The lease began when it was created, which was earlier: extend it before counting on it.
+    // The lease began when it was created, some time ago, so it is extended before this node relies on it.
     const auto sent = Clock::now();
     auto extended = co_await key_.extend_lease(first_extension_deadline);
     if (extended != Outcome::ok || !lease_voter_.may_campaign(Clock::now())) co_return false;
@@ -165,32 +167,32 @@
     leader_ = true;
     leadership_suspect_ = false;
     leader_name_ = node_;
-    spdlog::info("{} leads with fencing token {}", node_, fencing_token);
+    spdlog::info("node {}: became the leader, fencing token {}", node_, fencing_token);
     on_leadership_acquired(fencing_token, Clock::now());
 }
 
-// ---- with leadership -----------------------------------------------------------------------------------
+// ---- leader --------------------------------------------------------------------------------------------
 
 Task<> Election::lead() {
     TimePoint last_extended = Clock::now();
     bool outage_logged = false;
     while (leader_) {
         const auto sent = Clock::now();
-        // A late answer still counts, from when the extension was sent.
+        // A late answer still extends the lease, counted from when the request was sent.
         auto outcome = co_await key_.extend_lease(timing_.lease_ttl / 2);
         if (!leader_) break;
         if (outcome == Outcome::absent) {
-            lose_leadership("its leader lease has expired");
+            lose_leadership("its leader lease expired");
             break;
         }
         if (outcome != Outcome::ok) {
-            if (!outage_logged) spdlog::warn("{} can't extend its leader lease", node_);
+            if (!outage_logged) spdlog::warn("node {}: can't extend its leader lease; retrying", node_);
             outage_logged = true;
             if (Clock::now() - last_extended > timing_.lease_ttl / 4) co_await collect_lease_votes();
             co_await net::sleep_for(failed_extension_pause);
             continue;
         }
-        if (outage_logged) spdlog::info("{} extends its leader lease again", node_);
+        if (outage_logged) spdlog::info("node {}: extends its leader lease again", node_);
         outage_logged = false;
         leader_lease_->extended(sent, timing_.lease_ttl);
         last_extended = Clock::now();
@@ -198,7 +200,7 @@
             leadership_suspect_ = false;
             const bool lost = co_await key_.is_lost();
             if (lost) {
-                lose_leadership("another node took the leader key");
+                lose_leadership("the leader key is gone or belongs to another process");
                 break;
             }
         }
@@ -206,7 +208,7 @@
     }
 }
 
-// While the state service answers nobody, leadership goes on as long as every other node withholds its own
+// While the lease can't be extended, the leader keeps leading as long as every other node has promised not to
 // campaign.
 Task<> Election::collect_lease_votes() {
     std::function<void(const std::string&, TimePoint)> on_granted = [this](const std::string& peer,
@@ -216,12 +218,12 @@
     co_await peers_.request_lease_votes(timing_.lease_vote, std::move(on_granted));
 }
 
-void Election::lose_leadership(const char* why) {
+void Election::lose_leadership(const char* reason) {
     if (!leader_) return;
     leader_ = false;
     leader_name_.clear();
     leader_lease_->revoke();
-    spdlog::warn("{} no longer leads: {}", node_, why);
+    spdlog::warn("node {}: is no longer the leader: {}", node_, reason);
     on_leadership_lost();
 }
 
@@ -232,7 +234,7 @@
     if (!leader_ || key_.fencing_token() != previous) co_return false;
     if (result.outcome == Outcome::ok) {
         key_.refreshed(result.revision);
-        spdlog::info("{} refreshed its fencing token: {}", node_, key_.fencing_token());
+        spdlog::info("node {}: refreshed its fencing token, now {}", node_, key_.fencing_token());
         co_return true;
     }
     if (result.outcome == Outcome::conflict) suspect_lost_leadership();
@@ -247,24 +249,24 @@
 void Election::step_down(Clock::duration pause) {
     if (!leader_) return;
     lease_voter_.grant(Clock::now(), pause);
-    lose_leadership("it steps down");
+    lose_leadership("it stepped down");
     net::asio::co_spawn(io_, key_.revoke_lease(), net::asio::detached);
     wake_.wake();
 }
 
-// ---- other nodes ---------------------------------------------------------------------------------------
+// ---- requests and replies of other nodes ---------------------------------------------------------------
 
-Task<bool> Election::grant_lease_vote(Clock::duration length) {
+Task<bool> Election::grant_lease_vote(Clock::duration duration) {
     if (leader_) co_return false;
-    length = std::min(length, timing_.lease_vote);
+    duration = std::min(duration, timing_.lease_vote);
     auto current = co_await state_.get(state::leader_key, vote_read_deadline, state::Throttle::exempt);
     if (current.outcome == Outcome::ok || current.outcome == Outcome::absent) {
-        // The state service answers here: the leader is alone with its trouble, and should be followed.
+        // The state service answers this node, so only the leader can't reach it and should be replaced.
         co_return false;
     }
     if (leader_) co_return false;
-    // A campaign of ours may be under way; it does not lead before the vote has expired.
-    lease_voter_.grant(Clock::now(), length);
+    // A campaign of this node may be in progress; it can't make this node the leader before the vote expires.
+    lease_voter_.grant(Clock::now(), duration);
     co_return true;
 }
 
@@ -280,7 +282,7 @@
 }
 
 void Election::on_heartbeat_reply(const HeartbeatReply& reply) {
-    lease_voter_.peer_reported(reply.peer, reply.may_lead, reply.sent);
+    lease_voter_.peer_reported(reply.peer, reply.may_be_leading, reply.sent);
     if (reply.renewal_grant && on_grant) on_grant(reply.sent, *reply.renewal_grant);
 }
 
--- a/src/election/leader_key.cpp
+++ b/src/election/leader_key.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 constexpr auto read_deadline = 800ms;
-// A campaign that hears nothing is read back soon; nobody leads meanwhile.
+// Kept short because no node leads until a campaign without an answer is read back.
 constexpr auto campaign_deadline = 1000ms;
-// The lease is extended beside it, so a refresh may take longer.
+// The lease is extended concurrently, so a refresh may take longer than a campaign.
 constexpr auto refresh_deadline = 1500ms;
 }  // namespace
 
--- a/src/election/leader_key.hpp
+++ b/src/election/leader_key.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The leader key in the state service as this process writes it: attached to a lease there, its version is
-// the fencing token.
+// The leader key in the state service, as this process writes it. The key is attached to a lease of the state
+// service, and its version is the fencing token.
 #include <string>
 
 #include "state/records.hpp"
@@ -10,34 +10,36 @@
 
 using net::Task;
 
-// Owns the ids under which this process leads or campaigns: incarnation, lease, fencing token and how often
-// the key was written. All requests are exempt from the rate limits. At each suspension the caller may lose
-// leadership or another coroutine may adopt a newer token: results have to be checked against both.
+// Owns the identifiers under which this process leads or campaigns: incarnation, lease, fencing token and the
+// number of writes of the key. All requests are exempt from the rate limits. While a coroutine is suspended,
+// the caller may lose leadership or another coroutine may adopt a newer token, so the caller must check each
+// result against both.
 class LeaderKey {
   public:
-    // `incarnation`: names this process among all processes of the node.
+    // `incarnation`: identifies this process among all processes of the node.
     LeaderKey(state::StateClient& state, std::string node, std::string incarnation)
         : state_(state), node_(std::move(node)), incarnation_(std::move(incarnation)) {}
 
     const std::string& incarnation() const { return incarnation_; }
-    // Of the current term, or of the last one.
+    // Fencing token of the current term, or of the last one.
     std::uint64_t fencing_token() const { return fencing_token_; }
     std::uint64_t lease_id() const { return lease_id_; }
 
-    // The lease that the key will be attached to, and the count for its next write.
+    // Sets the lease to which the next write attaches the key, and the refresh count of that write.
     void attach(std::uint64_t lease_id, std::uint64_t refresh_count);
-    // A term begins under this token.
+    // Starts a term under this token.
     void begin_term(std::uint64_t fencing_token) { fencing_token_ = fencing_token; }
 
-    // Writes the key as attached if its version is still `expected_version` (0: there is none). Its new
-    // version is the result's revision.
+    // Writes the key with the attached lease if its version is still `expected_version` (0: the key does not
+    // exist). The key's new version is the revision of the result.
     Task<state::CompareAndSwapResult> write(std::uint64_t expected_version);
-    // Writes the key anew in the same term, for a new token. Nothing changes here before `refreshed`.
+    // Rewrites the key in the same term to get a new fencing token. This object does not change before
+    // `refreshed` is called.
     Task<state::CompareAndSwapResult> write_refresh();
-    // A refresh was written, and its term still goes on.
+    // Adopts the token of a successful refresh; the caller has checked that the term has not ended.
     void refreshed(std::uint64_t fencing_token);
-    // Whether the key is gone or another process's. If it is ours and newer than known, by a refresh whose
-    // answer was lost, its token is adopted.
+    // Whether the key is gone or belongs to another process. If the key belongs to this process and is newer
+    // than known, because the answer to a refresh was lost, its token is adopted.
     Task<bool> is_lost();
 
     Task<state::Outcome> extend_lease(Clock::duration deadline);
@@ -50,7 +52,7 @@
     state::StateClient& state_;
     std::string node_, incarnation_;
     std::uint64_t fencing_token_ = 0, lease_id_ = 0;
-    std::uint64_t refresh_count_ = 0;  // makes each write of the key differ from the last
+    std::uint64_t refresh_count_ = 0;  // makes each written value differ from the previous one
 };
 
 }  // namespace barrowrun::election
--- a/src/election/peers.cpp
+++ b/src/election/peers.cpp
@@ -10,11 +10,11 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Under the second between two heartbeats, so that requests to a silent peer do not pile up.
+// Shorter than the heartbeat interval of 1 s, so that requests to an unresponsive peer do not accumulate.
 constexpr auto heartbeat_deadline = 800ms;
-// Votes last 2.5 s by default: enough are left of that after an answer at the last moment.
+// Lease votes last 2.5 s by default, so a vote that arrives just before this deadline is still useful.
 constexpr auto vote_deadline = 900ms;
-// Three heartbeats: what a peer said of the state service is not counted on for longer.
+// Three heartbeat intervals; an older report about the state service is ignored.
 constexpr auto peer_status_lifetime = 3s;
 }  // namespace
 
@@ -56,9 +56,9 @@
 }
 
 Task<> Peers::send_heartbeat(Peer* peer, Json body, std::function<void(const HeartbeatReply&)> on_reply) {
-    HeartbeatReply out;
-    out.peer = peer->name;
-    out.sent = Clock::now();
+    HeartbeatReply heartbeat_reply;
+    heartbeat_reply.peer = peer->name;
+    heartbeat_reply.sent = Clock::now();
     auto reply =
         co_await client_.call(peer->address, verb::post, "/peer/ping", std::move(body), heartbeat_deadline);
     if (auto line = peer->reach.note(reply.status == 200, Clock::now())) spdlog::info("{}", *line);
@@ -67,27 +67,27 @@
     peer->state_ok = wire::flag(reply.body, "state_ok").value_or(false);
     peer->leading = wire::flag(reply.body, "leading").value_or(false);
     peer->waiting = wire::count(reply.body, "waiting").value_or(0);
-    out.may_lead = wire::flag(reply.body, "elected").value_or(true);
-    out.renewal_grant = wire::find(reply.body, "leases");
-    on_reply(out);
+    heartbeat_reply.may_be_leading = wire::flag(reply.body, "elected").value_or(true);
+    heartbeat_reply.renewal_grant = wire::find(reply.body, "leases");
+    on_reply(heartbeat_reply);
 }
 
-Task<> Peers::request_lease_votes(Clock::duration length,
+Task<> Peers::request_lease_votes(Clock::duration duration,
                                   std::function<void(const std::string&, TimePoint)> on_granted) {
     auto round = std::make_shared<VoteRound>(io_, peers_.size());
     for (auto& peer : peers_)
-        net::asio::co_spawn(io_, request_lease_vote(peer.name, peer.address, length, on_granted, round),
+        net::asio::co_spawn(io_, request_lease_vote(peer.name, peer.address, duration, on_granted, round),
                             net::asio::detached);
     const auto deadline = Clock::now() + vote_deadline;
     while (round->outstanding > 0 && Clock::now() < deadline)
         co_await round->answered.wait(deadline - Clock::now());
 }
 
-Task<> Peers::request_lease_vote(std::string name, std::string address, Clock::duration length,
+Task<> Peers::request_lease_vote(std::string name, std::string address, Clock::duration duration,
                                  std::function<void(const std::string&, TimePoint)> on_granted,
                                  std::shared_ptr<VoteRound> round) {
-    auto length_ms = std::chrono::duration_cast<std::chrono::milliseconds>(length).count();
-    Json body{{"from", node_}, {"ms", length_ms}};
+    auto duration_ms = std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
+    Json body{{"from", node_}, {"ms", duration_ms}};
     auto sent = Clock::now();
     auto reply = co_await client_.call(address, verb::post, "/peer/abstain", std::move(body), vote_deadline);
     if (reply.status == 200 && wire::flag(reply.body, "promise").value_or(false)) on_granted(name, sent);
--- a/src/election/peers.hpp
+++ b/src/election/peers.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What is said to the other controller nodes: heartbeats, and requests for lease votes.
+// Messages to the other controller nodes: heartbeats and requests for lease votes.
 #include <functional>
 #include <memory>
 #include <optional>
@@ -14,58 +14,59 @@
 
 using net::Task;
 
-// Another controller node, and what its last answer to a heartbeat said.
+// Another controller node, and the contents of its last answer to a heartbeat.
 struct Peer {
     std::string name, address;
-    bool state_ok = false;      // the state service answers it
-    bool leading = false;       // it led, with a valid lease
-    std::uint64_t waiting = 0;  // tasks in its queues, if it leads
-    TimePoint heard{};          // when that answer came
+    bool state_ok = false;      // whether the state service answers the peer
+    bool leading = false;       // whether the peer led with a valid lease
+    std::uint64_t waiting = 0;  // number of tasks in the peer's queues if it leads
+    TimePoint heard{};          // when the answer was received
     net::Reach reach{""};
 };
 
-// The part of an answer to a heartbeat that this package or its user acts on.
+// The part of an answer to a heartbeat that the election passes on.
 struct HeartbeatReply {
     std::string peer;
-    bool may_lead = true;                       // unless the peer said that it was not elected
+    bool may_be_leading = true;                 // false if the peer reported that it is not in a term
     TimePoint sent{};                           // when the heartbeat was sent
-    const wire::Json* renewal_grant = nullptr;  // good only during the call; null: none came with it
+    const wire::Json* renewal_grant = nullptr;  // valid only during the callback; null if the answer has none
 };
 
 // Owns the list of peers. Requests run as detached coroutines on the io thread and refer to this object,
-// which has to outlive the io context's run.
+// which must outlive the run of the io context.
 class Peers {
   public:
     Peers(net::asio::io_context& io, std::string node, std::vector<Peer> peers, net::HttpClient& client);
 
     // Sends one heartbeat to every peer and does not wait for the answers. `on_reply` is called for each
-    // answer, once the peer's entry is up to date. `lease_status`: null, or what goes with the heartbeat.
+    // answer, after the peer's entry has been updated. `lease_status`: attached to the heartbeat unless null.
     void send_heartbeats(bool state_service_responsive, const wire::Json& lease_status,
                          std::function<void(const HeartbeatReply&)> on_reply);
 
-    // Asks every peer for a lease vote of that length. Returns when all have answered or the time is over;
-    // later answers still call `on_granted`, with the moment at which the request was sent.
-    Task<> request_lease_votes(Clock::duration length,
+    // Requests a lease vote of this duration from every peer. Returns when all peers have answered or the
+    // deadline has passed; later answers still call `on_granted`, with the time at which the request was
+    // sent.
+    Task<> request_lease_votes(Clock::duration duration,
                                std::function<void(const std::string& peer, TimePoint sent)> on_granted);
 
     const std::vector<Peer>& all() const { return peers_; }
     std::set<std::string> names() const;
     std::optional<std::string> address_of(const std::string& name) const;
-    // Whether a peer lately said, in an answer that came at or after `heard_after`, that the state service
-    // answers it.
+    // Whether a peer reported within the last 3 s, in an answer received at or after `heard_after`, that the
+    // state service answers it.
     bool any_reaches_state_service(TimePoint now, TimePoint heard_after) const;
 
   private:
     struct VoteRound;
 
     Task<> send_heartbeat(Peer* peer, wire::Json body, std::function<void(const HeartbeatReply&)> on_reply);
-    Task<> request_lease_vote(std::string name, std::string address, Clock::duration length,
+    Task<> request_lease_vote(std::string name, std::string address, Clock::duration duration,
                               std::function<void(const std::string&, TimePoint)> on_granted,
                               std::shared_ptr<VoteRound> round);
 
     net::asio::io_context& io_;
     std::string node_;
-    std::vector<Peer> peers_;  // never changes its size: coroutines point into it
+    std::vector<Peer> peers_;  // size is fixed: coroutines hold pointers to the elements
     net::HttpClient& client_;
 };
 
--- a/src/leases/leases.cpp
+++ b/src/leases/leases.cpp
@@ -6,17 +6,18 @@
 using wire::Json;
 
 namespace {
-// A grant that would exclude more machines grants nothing: it goes with every answer to a heartbeat.
-constexpr std::size_t most_excluded_machines = 400;
-// A node that heard the leader so lately can still ask it, and pauses its own renewals.
-constexpr std::chrono::milliseconds recent_contact{2000};
-// What the timers of node and worker may be late by, together.
+// A grant that would have to exclude more machines grants nothing, which bounds the size of each answer to a
+// heartbeat.
+constexpr std::size_t max_excluded_machines = 400;
+// A node whose last contact with the leader is more recent can still reach it, and pauses its own renewals.
+constexpr std::chrono::milliseconds recent_contact_window{2000};
+// Total delay that is allowed for the timers of the node and the worker.
 constexpr std::chrono::milliseconds timer_slack{100};
-// A day: a longer age from another node would overflow further on.
-constexpr std::uint64_t longest_age_ms = 86'400'000;
+// One day. Ages received from other nodes are limited to it so that time arithmetic can't overflow.
+constexpr std::uint64_t max_age_ms = 86'400'000;
 
 std::chrono::milliseconds from_ms(std::uint64_t milliseconds) {
-    return std::chrono::milliseconds(std::min(milliseconds, longest_age_ms));
+    return std::chrono::milliseconds(std::min(milliseconds, max_age_ms));
 }
 
 std::uint64_t to_ms(Clock::duration duration) {
@@ -26,14 +27,14 @@
 }  // namespace
 
 Clock::duration renewal_period(double lease_s, double cancel_s) {
-    // Two clocks are in it, the node's and the worker's, and two timers.
-    auto left = secs(cancel_s) - longer(secs(lease_s)) - timer_slack;
-    return std::max(shorter(left), Clock::duration::zero());
+    // Allows for the drift of two clocks, the node's and the worker's, and for the delay of two timers.
+    auto remaining = secs(cancel_s) - longer(secs(lease_s)) - timer_slack;
+    return std::max(shorter(remaining), Clock::duration::zero());
 }
 
 Json to_json(const RenewalGrant& grant) {
     Json out{{"token", grant.fencing_token}, {"stamp", grant.timestamp_ms}};
-    if (grant.grants_nothing || grant.excluded_machines.size() > most_excluded_machines)
+    if (grant.grants_nothing || grant.excluded_machines.size() > max_excluded_machines)
         out["but"] = true;
     else
         out["but"] = grant.excluded_machines;
@@ -75,19 +76,19 @@
     return Heartbeat{*zone, *fencing_token, *timestamp_ms, *grant_age, *pauses_renewal, *last_renewal_age};
 }
 
-// ---- a node --------------------------------------------------------------------------------------------
+// ---- node ----------------------------------------------------------------------------------------------
 
 void LeaseRenewer::granted(TimePoint sent, TimePoint received, RenewalGrant grant) {
-    // Answers may overtake one another; an older one tells nothing new.
-    if (contact_ && sent <= *contact_) return;
-    contact_ = sent;
-    received_ = received;
+    // Answers may arrive out of order; an answer to an older heartbeat is ignored.
+    if (last_contact_ && sent <= *last_contact_) return;
+    last_contact_ = sent;
+    grant_received_ = received;
     grant_ = std::move(grant);
     grant_is_remote_ = true;
 }
 
 void LeaseRenewer::leads(TimePoint now, RenewalGrant grant) {
-    contact_ = received_ = now;
+    last_contact_ = grant_received_ = now;
     grant_ = std::move(grant);
     grant_is_remote_ = false;
 }
@@ -95,13 +96,13 @@
 Heartbeat LeaseRenewer::heartbeat(TimePoint now) {
     Heartbeat out;
     out.zone = zone_;
-    if (contact_ && grant_is_remote_) {
+    if (last_contact_ && grant_is_remote_) {
         out.fencing_token = grant_.fencing_token;
         out.timestamp_ms = grant_.timestamp_ms;
-        out.grant_age_ms = to_ms(now - received_);
+        out.grant_age_ms = to_ms(now - grant_received_);
     }
     out.last_renewal_age_ms = to_ms(now - last_renewal_);
-    if (contact_ && now - *contact_ < recent_contact) {
+    if (last_contact_ && now - *last_contact_ < recent_contact_window) {
         out.pauses_renewal = true;
         renewal_paused_until_ = std::max(renewal_paused_until_, now + longer(renewal_pause));
     }
@@ -109,25 +110,27 @@
 }
 
 bool LeaseRenewer::may_renew(const std::string& machine, TimePoint now) const {
-    return contact_ && now < *contact_ + renewal_period_ && !grant_.grants_nothing &&
+    return last_contact_ && now < *last_contact_ + renewal_period_ && !grant_.grants_nothing &&
            !grant_.excluded_machines.contains(machine);
 }
 
-bool LeaseRenewer::may_renew_cut_off(const wire::WorkerHeartbeat& heartbeat, TimePoint now, bool cut_off) {
-    if (!cut_off || heartbeat.zone != zone_ || !may_renew(heartbeat.machine, now)) return false;
-    // A worker that knows a higher token would drop the answer and stay here while its lease runs out.
+bool LeaseRenewer::may_renew_cut_off(const wire::WorkerHeartbeat& heartbeat, TimePoint now,
+                                     bool partitioned) {
+    if (!partitioned || heartbeat.zone != zone_ || !may_renew(heartbeat.machine, now)) return false;
+    // A worker that knows a higher token would ignore the answer, and would keep sending its heartbeats to
+    // this node until its lease expires.
     if (heartbeat.fencing_token > grant_.fencing_token || now < renewal_paused_until_) return false;
     last_renewal_ = now;
     return true;
 }
 
-// ---- the leader ----------------------------------------------------------------------------------------
+// ---- leader --------------------------------------------------------------------------------------------
 
 RenewalBound::RenewalBound(const std::set<std::string>& nodes, Clock::duration period, TimePoint acquired,
                            std::uint64_t fencing_token)
     : renewal_period_(period), acquired_(acquired), first_fencing_token_(fencing_token) {
-    // Whatever a predecessor granted was granted before this leader's time.
-    for (auto& name : nodes) nodes_[name].grants_end = acquired + longer(period);
+    // A previous leader issued its grants before this leader's term began.
+    for (auto& name : nodes) nodes_[name].grants_expiry = acquired + longer(period);
 }
 
 std::uint64_t RenewalBound::timestamp_ms(TimePoint now) const {
@@ -139,11 +142,11 @@
     if (found == nodes_.end()) return;
     Node& sender = found->second;
     sender.zone = heartbeat.zone;
-    // The heartbeat may have been delayed for minutes: it was sent after the timestamp that it brings back
-    // was given, and no later than now. Both bounds are used, each where it is the safe one.
+    // The heartbeat may have been delayed for minutes. It was sent after the timestamp that it echoes was
+    // issued, and no later than now. Each of the two bounds is used where it is the safe one.
     sender.last_renewal =
         std::max(sender.last_renewal, now - shorter(from_ms(heartbeat.last_renewal_age_ms)));
-    // Fencing tokens only grow: a lower one is of an earlier term, and so is its timestamp.
+    // Fencing tokens only grow, so a lower token, and the timestamp with it, comes from an earlier term.
     if (heartbeat.pauses_renewal && heartbeat.timestamp_ms > 0 &&
         heartbeat.fencing_token >= first_fencing_token_) {
         auto sent =
@@ -152,18 +155,18 @@
             sender.renewal_paused_until =
                 std::max(sender.renewal_paused_until, sent + shorter(renewal_pause));
     }
-    if (granted) sender.grants_end = std::max(sender.grants_end, now + longer(renewal_period_));
+    if (granted) sender.grants_expiry = std::max(sender.grants_expiry, now + longer(renewal_period_));
 }
 
 TimePoint RenewalBound::latest_renewal(const std::string& zone, TimePoint now) const {
-    TimePoint last{};
-    if (renewal_period_ <= Clock::duration::zero()) return last;
+    TimePoint latest{};
+    if (renewal_period_ <= Clock::duration::zero()) return latest;
     for (auto& [name, node] : nodes_) {
         if (node.zone && !zone.empty() && *node.zone != zone) continue;
-        last = std::max(last, std::min(now, node.last_renewal));
-        if (now > node.renewal_paused_until) last = std::max(last, std::min(now, node.grants_end));
+        latest = std::max(latest, std::min(now, node.last_renewal));
+        if (now > node.renewal_paused_until) latest = std::max(latest, std::min(now, node.grants_expiry));
     }
-    return last;
+    return latest;
 }
 
 }  // namespace barrowrun::leases
--- a/src/leases/leases.hpp
+++ b/src/leases/leases.hpp
@@ -1,16 +1,18 @@
 #pragma once
-// Leases of workers that a node keeps while it is cut off together with them. Decisions only: no I/O, no
-// clock.
+// Renewal of worker leases by a node that is in the same network partition as the workers. Pure logic: no I/O
+// and no clock.
 //
-// A zone that is cut off goes on working inside, and its workers' leases do not expire as long as a node
-// there answers them with a valid token (the protocol, "Outages and cuts"). A node that has lost the leader
-// and the state service answers the workers of its own zone without commands, for a bounded time since the
-// leader last answered it. A leader takes a lease as expired only once no node can have answered in that way.
+// The network inside a partitioned zone still works, and the leases of its workers do not expire as long as a
+// node in the zone answers their heartbeats with a valid token (the protocol, "Outages and cuts"). A node
+// that can reach neither the leader nor the state service answers the workers of its own zone without
+// commands, for a bounded time after the leader's last answer to it. The leader treats a lease as expired
+// only once no node can have renewed it in this way.
 //
-// The bound: a task must be gone `cancel_s` after its user was told that its job is cancelled. With each
-// answer of the leader a node learns which machines may hold a task of a cancelled job, launches on their way
-// included, and renews no lease of these; for a job that is cancelled later the last answer comes within
-// `renewal_period`, and a lease after that all is gone: renewal_period + lease < cancel_s.
+// The bound: the tasks of a job must have stopped `cancel_s` after the user was told that the job is
+// cancelled. Each answer of the leader tells the node which machines may hold a task of a cancelled job,
+// including launches in flight, and the node renews no lease of these machines. For a job that is cancelled
+// later, the node's last renewal is within `renewal_period` of its last contact, and the worker's lease
+// expires after that: renewal_period + lease < cancel_s.
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -22,82 +24,84 @@
 
 namespace barrowrun::leases {
 
-// For how long after its last contact with a leader a node may renew leases; zero: never. `lease_s`: how long
-// a worker's lease lasts; `cancel_s`: how soon after a confirmed cancellation its tasks must be gone.
+// Returns how long after its last contact with a leader a node may renew leases; zero: never. `lease_s`: the
+// duration of a worker's lease; `cancel_s`: the time after a confirmed cancellation by which the job's tasks
+// must have stopped.
 Clock::duration renewal_period(double lease_s, double cancel_s);
-// For how long a node renews no leases, counted from each heartbeat that says so.
+// How long a node renews no leases after a heartbeat that announces a pause.
 inline constexpr std::chrono::milliseconds renewal_pause{2500};
 
-// What a leader allows a node, with its answer to the node's heartbeat.
+// Permission of the leader for a node to renew leases; part of the answer to the node's heartbeat.
 struct RenewalGrant {
     std::uint64_t fencing_token = 0;
-    std::uint64_t timestamp_ms = 0;  // ms on the leader's clock; means something to it alone
-    bool grants_nothing = false;     // no lease may be renewed: too many machines would have to be named
-    std::set<std::string> excluded_machines;  // they may hold a task of a cancelled job
+    std::uint64_t timestamp_ms = 0;  // ms on the leader's clock; meaningful only to that leader
+    bool grants_nothing = false;     // no lease may be renewed: too many machines would have to be listed
+    std::set<std::string> excluded_machines;  // machines that may hold a task of a cancelled job
 };
 wire::Json to_json(const RenewalGrant& grant);
 std::optional<RenewalGrant> parse_renewal_grant(const wire::Json& value);
 
-// A node's part of its heartbeat to the leader, once a second.
+// The part of a node's heartbeat to the leader that concerns lease renewal; sent once a second.
 struct Heartbeat {
     std::string zone;
-    std::uint64_t fencing_token = 0, timestamp_ms = 0;  // of the last grant; 0: none
-    std::uint64_t grant_age_ms = 0;                     // how long ago that came
-    bool pauses_renewal = false;                        // renews no lease for `renewal_pause` from now
-    // How long ago it last renewed a lease; at the most, since its start.
+    std::uint64_t fencing_token = 0, timestamp_ms = 0;  // of the last grant; 0 if there is none
+    std::uint64_t grant_age_ms = 0;                     // time since that grant was received
+    bool pauses_renewal = false;  // the node renews no lease for the next `renewal_pause`
+    // Time since the node last renewed a lease, or since its process started.
     std::uint64_t last_renewal_age_ms = 0;
 };
 wire::Json to_json(const Heartbeat& heartbeat);
 std::optional<Heartbeat> parse_heartbeat(const wire::Json& value);
 
-// A node's side: which leases it may renew by itself.
+// The node's side: which leases the node may renew without the leader.
 class LeaseRenewer {
   public:
     LeaseRenewer(std::string zone, Clock::duration period, TimePoint start)
         : zone_(std::move(zone)), renewal_period_(period), last_renewal_(start) {}
-    // The leader answered a heartbeat that was sent then.
+    // Records the grant that the leader returned to a heartbeat sent at `sent`.
     void granted(TimePoint sent, TimePoint received, RenewalGrant grant);
-    // This node leads, and has the right to at this moment: it counts as its own contact.
+    // Records that this node leads with a valid lease at `now`, which counts as contact with the leader.
     void leads(TimePoint now, RenewalGrant grant);
-    // What to send to the leader now. Pauses its renewals if it says so.
+    // Returns the heartbeat to be sent now. Starts the renewal pause if the heartbeat announces one.
     Heartbeat heartbeat(TimePoint now);
-    // Whether the lease of the machine's worker may be renewed from what this node knows of cancelled jobs:
-    // by its last contact nothing there was to be gone, and what was cancelled since is gone in time if it
-    // answers now. Whoever hasn't read the records has no better right, a new leader included
-    // (docs/incidents/unread-leader.md).
+    // Whether the lease of the machine's worker may be renewed by what this node knows of cancelled jobs: at
+    // the last contact the machine held no task of a cancelled job, and tasks of jobs cancelled since then
+    // still stop in time if the node renews now. The rule also applies to a new leader that has not read the
+    // records yet (docs/incidents/unread-leader.md).
     bool may_renew(const std::string& machine, TimePoint now) const;
-    // Whether the heartbeat may be answered with the token alone. `cut_off`: neither the leader nor the state
-    // service is heard.
-    bool may_renew_cut_off(const wire::WorkerHeartbeat& heartbeat, TimePoint now, bool cut_off);
+    // Whether the worker's heartbeat may be answered with the token alone, without commands; if so, this
+    // counts as a renewal. `partitioned`: this node can reach neither the leader nor the state service.
+    bool may_renew_cut_off(const wire::WorkerHeartbeat& heartbeat, TimePoint now, bool partitioned);
     std::uint64_t fencing_token() const { return grant_.fencing_token; }
 
   private:
     std::string zone_;
     Clock::duration renewal_period_;
-    std::optional<TimePoint> contact_;
-    TimePoint received_{}, renewal_paused_until_{}, last_renewal_;
+    std::optional<TimePoint> last_contact_;
+    TimePoint grant_received_{}, renewal_paused_until_{}, last_renewal_;
     RenewalGrant grant_;
-    bool grant_is_remote_ = false;  // its timestamp is another node's, and goes back with the heartbeat
+    bool grant_is_remote_ = false;  // another node issued the grant; its timestamp is echoed in heartbeats
 };
 
-// The leader's side: until when other nodes may have renewed leases.
+// The leader's side: the latest time at which other nodes may have renewed leases.
 class RenewalBound {
   public:
-    // `nodes`: by name; their zones are not known before they say so, so that any may be theirs.
-    // `fencing_token`: the term's first.
+    // `nodes`: names of the other nodes. Until a node reports its zone, it may be in any zone.
+    // `fencing_token`: the first token of the term.
     RenewalBound(const std::set<std::string>& nodes, Clock::duration period, TimePoint acquired,
                  std::uint64_t fencing_token);
-    // A heartbeat, and whether it is answered with a grant.
+    // Records a heartbeat; `granted`: whether it is answered with a grant.
     void heard(const std::string& node, const Heartbeat& heartbeat, TimePoint now, bool granted);
-    // What a grant is stamped with now; a heartbeat brings it back.
+    // Returns the timestamp for a grant issued now; later heartbeats of the node echo it.
     std::uint64_t timestamp_ms(TimePoint now) const;
-    // The latest moment up to now at which a node may have renewed a lease in the zone by itself.
+    // Returns the latest time up to now at which a node may have renewed a lease in the zone without the
+    // leader.
     TimePoint latest_renewal(const std::string& zone, TimePoint now) const;
 
   private:
     struct Node {
         std::optional<std::string> zone;
-        TimePoint last_renewal{}, renewal_paused_until{}, grants_end{};
+        TimePoint last_renewal{}, renewal_paused_until{}, grants_expiry{};
     };
     Clock::duration renewal_period_;
     TimePoint acquired_;
--- a/src/state/records.cpp
+++ b/src/state/records.cpp
@@ -4,8 +4,8 @@
 
 namespace barrowrun::state {
 namespace {
-constexpr char digits64[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
-int value64(char c) {
+constexpr char base64_digits[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
+int base64_value(char c) {
     if (c >= 'A' && c <= 'Z') return c - 'A';
     if (c >= 'a' && c <= 'z') return c - 'a' + 26;
     if (c >= '0' && c <= '9') return c - '0' + 52;
@@ -68,18 +68,18 @@
     return it->first;
 }
 
-Json IndexSet::json(std::uint32_t universe) const {
-    // A range takes up to 16 characters as JSON, a bitmap one for six tasks.
-    if (ranges_.size() * 16 > universe / 6 + 8) {
-        std::string bits;
-        bits.reserve(universe / 6 + 1);
-        for (std::uint32_t base = 0; base < universe; base += 6) {
-            int v = 0;
-            for (std::uint32_t k = 0; k < 6; ++k)
-                if (base + k < universe && contains(base + k)) v |= 1 << k;
-            bits += digits64[v];
+Json IndexSet::json(std::uint32_t universe_size) const {
+    // In JSON a range takes up to 16 characters; a bitmap takes one character for every six tasks.
+    if (ranges_.size() * 16 > universe_size / 6 + 8) {
+        std::string bitmap;
+        bitmap.reserve(universe_size / 6 + 1);
+        for (std::uint32_t base = 0; base < universe_size; base += 6) {
+            int bits_of_digit = 0;
+            for (std::uint32_t bit = 0; bit < 6; ++bit)
+                if (base + bit < universe_size && contains(base + bit)) bits_of_digit |= 1 << bit;
+            bitmap += base64_digits[bits_of_digit];
         }
-        return bits;
+        return bitmap;
     }
     Json out = Json::array();
     for (auto [from, to] : ranges_) {
@@ -89,17 +89,17 @@
     return out;
 }
 
-std::optional<IndexSet> IndexSet::parse(const Json& value, std::uint32_t universe) {
+std::optional<IndexSet> IndexSet::parse(const Json& value, std::uint32_t universe_size) {
     IndexSet s;
     if (value.is_string()) {
-        const auto& bits = value.get_ref<const std::string&>();
-        for (std::size_t c = 0; c < bits.size(); ++c) {
-            int v = value64(bits[c]);
-            if (v < 0) return std::nullopt;
-            for (std::uint32_t k = 0; k < 6; ++k)
-                if (v & (1 << k)) {
-                    auto i = static_cast<std::uint32_t>(c * 6 + k);
-                    if (i >= universe) return std::nullopt;
+        const auto& bitmap = value.get_ref<const std::string&>();
+        for (std::size_t c = 0; c < bitmap.size(); ++c) {
+            int bits_of_digit = base64_value(bitmap[c]);
+            if (bits_of_digit < 0) return std::nullopt;
+            for (std::uint32_t bit = 0; bit < 6; ++bit)
+                if (bits_of_digit & (1 << bit)) {
+                    auto i = static_cast<std::uint32_t>(c * 6 + bit);
+                    if (i >= universe_size) return std::nullopt;
                     s.insert(i);
                 }
         }
@@ -108,9 +108,9 @@
     if (!value.is_array() || value.size() % 2) return std::nullopt;
     for (std::size_t k = 0; k < value.size(); k += 2) {
         if (!value[k].is_number_unsigned() || !value[k + 1].is_number_unsigned()) return std::nullopt;
-        auto from = value[k].get<std::uint64_t>(), n = value[k + 1].get<std::uint64_t>();
-        if (from > universe || n > universe - from) return std::nullopt;
-        s.insert_range(static_cast<std::uint32_t>(from), static_cast<std::uint32_t>(from + n));
+        auto from = value[k].get<std::uint64_t>(), count = value[k + 1].get<std::uint64_t>();
+        if (from > universe_size || count > universe_size - from) return std::nullopt;
+        s.insert_range(static_cast<std::uint32_t>(from), static_cast<std::uint32_t>(from + count));
     }
     return s;
 }
@@ -201,9 +201,9 @@
 }
 
 std::optional<FinishedRecord> parse_finished_record(const Json& value) {
-    auto standing = wire::parse_job_state(wire::text(value, "state").value_or(""));
-    if (!standing) return std::nullopt;
-    FinishedRecord r{*standing, static_cast<std::uint32_t>(wire::count(value, "finished").value_or(0)), {}};
+    auto job_state = wire::parse_job_state(wire::text(value, "state").value_or(""));
+    if (!job_state) return std::nullopt;
+    FinishedRecord r{*job_state, static_cast<std::uint32_t>(wire::count(value, "finished").value_or(0)), {}};
     if (const Json* errors = wire::find(value, "error_count")) r.errors = wire::parse_error_count(*errors);
     return r;
 }
@@ -258,9 +258,10 @@
 
 std::optional<ProvisioningRecord> parse_provisioning_record(const Json& value) {
     auto type = wire::text(value, "type"), zone = wire::text(value, "zone");
-    auto n = wire::count(value, "count");
-    if (!type || !zone || !n || *n > 50) return std::nullopt;
-    return ProvisioningRecord{*type, *zone, wire::flag(value, "spot").value_or(false), static_cast<int>(*n)};
+    auto count = wire::count(value, "count");
+    if (!type || !zone || !count || *count > 50) return std::nullopt;
+    return ProvisioningRecord{*type, *zone, wire::flag(value, "spot").value_or(false),
+                              static_cast<int>(*count)};
 }
 
 Json to_json(const LeaderRecord& r) {
--- a/src/state/records.hpp
+++ b/src/state/records.hpp
@@ -1,13 +1,13 @@
 #pragma once
-// What is kept in the state service: key layout and values.
+// Records in the state service: key layout and values.
 //
-//   leader              who leads; attached to the leader's hold; its version is the token
-//   jobs/<id>           the job as accepted, written once by whichever node accepted it
-//   progress/<id>       finished tasks, withdrawn or not; written by the leader only
+//   leader              the leader node; attached to the leader's lease; its version is the fencing token
+//   jobs/<id>           the accepted job, written once by the node that accepted it
+//   progress/<id>       the job's finished tasks and whether it was cancelled; written only by the leader
 //   past/<id>           final state of a finished job
-//   sheets/<number>     machines, each with the attempts that may be on it
-//   hires/<request>     a rental whose outcome is not known yet
-//   catalog             machine types, so that a node can check jobs while the cloud is down
+//   sheets/<number>     assignment shard: machines, each with the attempts that may be on it
+//   hires/<request>     a provisioning request whose outcome is not known yet
+//   catalog             machine types, with which a node can check jobs while the cloud is unavailable
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -21,18 +21,18 @@
 
 using wire::Json;
 
-// A set of task numbers kept as ranges.
+// A set of task indices, stored as ranges.
 class IndexSet {
   public:
     static IndexSet full(std::uint32_t n);
     bool contains(std::uint32_t i) const;
-    bool insert(std::uint32_t i);  // false if it was there
-    bool erase(std::uint32_t i);
+    bool insert(std::uint32_t i);                             // false if the index was already a member
+    bool erase(std::uint32_t i);                              // false if the index was not a member
     void insert_range(std::uint32_t from, std::uint32_t to);  // [from, to)
     void insert(const IndexSet& others) {
         for (auto& [from, to] : others.ranges_) insert_range(from, to);
     }
-    // Members in order. The set must not change meanwhile.
+    // Calls `f` for each member in ascending order. `f` must not change the set.
     template <class F>
     void each(F&& f) const {
         for (auto& [from, to] : ranges_)
@@ -43,9 +43,11 @@
     std::optional<std::uint32_t> first() const;
     std::optional<std::uint32_t> next(std::uint32_t from) const;  // smallest member >= from
     const std::map<std::uint32_t, std::uint32_t>& ranges() const { return ranges_; }
-    // Ranges, or a bitmap in text where ranges would be longer than that.
-    Json json(std::uint32_t universe) const;
-    static std::optional<IndexSet> parse(const Json& value, std::uint32_t universe);
+    // Encodes the set as an array of ranges, or as a base64 bitmap if that is shorter. All members must be
+    // less than `universe_size`.
+    Json json(std::uint32_t universe_size) const;
+    // Returns nothing if the value is malformed or has a member that is not less than `universe_size`.
+    static std::optional<IndexSet> parse(const Json& value, std::uint32_t universe_size);
 
   private:
     std::map<std::uint32_t, std::uint32_t> ranges_;  // start -> end (exclusive)
@@ -63,23 +65,24 @@
 
 struct JobRecord {
     wire::JobSpec spec;
-    std::int64_t accepted_ms = 0;  // time of day; orders the queue and dates the deadline
+    std::int64_t accepted_ms = 0;  // wall-clock time; orders the queue, and the deadline counts from it
 };
 Json to_json(const JobRecord& r);
 std::optional<JobRecord> parse_job_record(const Json& value);
 
-// Failures of one task. An attempt counts once: numbers only grow, so those up to `last` are counted.
+// Failures of one task. Each failed attempt is counted once: attempt numbers only grow, so all attempts up to
+// `last` have been counted.
 struct TaskErrors {
     std::uint32_t count = 0;
-    std::uint64_t last = 0;
+    std::uint64_t last = 0;  // attempt number
     bool operator==(const TaskErrors&) const = default;
 };
 
 struct Progress {
     IndexSet done;
     bool cancelled = false;
-    bool failed = false;  // cancelled by the scheduler itself: a task failed too often
-    // Only of jobs that count their failures.
+    bool failed = false;  // the scheduler cancelled the job because a task failed too often
+    // Present only for jobs that count their failures.
     std::map<std::uint32_t, TaskErrors> errors{};
     std::optional<wire::ErrorCount> total{};
 };
@@ -98,11 +101,12 @@
     std::string name, address, type, zone;
     bool spot = false;
     std::int64_t provisioned_ms = 0;
-    std::vector<wire::Attempt> attempts;  // may be on the machine
+    std::vector<wire::Attempt> attempts;  // attempts that may be on the machine
 };
-Json to_json(const MachineRecord& r);  // a list without field names: hundreds stand in a few values
+// Encodes the record as an array without field names, because a few values hold hundreds of records.
+Json to_json(const MachineRecord& r);
 std::optional<MachineRecord> parse_machine_record(const Json& value);
-// A sheet is read whole or not at all.
+// Returns nothing if any machine record of the assignment shard is malformed.
 std::optional<std::vector<MachineRecord>> parse_assignment_shard(const Json& value);
 
 struct ProvisioningRecord {
--- a/src/state/state_client.cpp
+++ b/src/state/state_client.cpp
@@ -5,26 +5,27 @@
 using net::http::verb;
 
 namespace {
-// Shares of the service's rates. Some of the requests is left for the leader key and its lease, which ask no
-// budget.
-constexpr double leader_requests = 0.6, leader_request_burst = 0.3;
-// The other nodes only write what they accept.
-constexpr double leader_writes = 0.85, leader_write_burst = 0.5;
-// Of all nodes together.
-constexpr double lookup_requests = 0.3, lookup_burst = 0.2;
-// A job's record and its progress, or its final state; of a job without progress one more.
-constexpr double requests_of_a_lookup = 2;
-// Longer than this no user's question waits for its turn: the user gives up after 2 s.
-constexpr std::chrono::milliseconds longest_lookup_wait{500};
+// Shares of the service's rates. A part of the request rate is left for the leader key and its lease, whose
+// requests are exempt from the budget.
+constexpr double leader_request_share = 0.6, leader_request_burst_share = 0.3;
+// The other nodes write only the jobs that they accept.
+constexpr double leader_write_share = 0.85, leader_write_burst_share = 0.5;
+// Shares of all nodes together.
+constexpr double lookup_share = 0.3, lookup_burst_share = 0.2;
+// A lookup reads the job's record and its progress, or its final state; a job without progress costs one
+// request more.
+constexpr double requests_per_lookup = 2;
+// A user's client gives up after 2 s, so a lookup does not wait longer than this for the budget.
+constexpr std::chrono::milliseconds max_lookup_wait{500};
 constexpr std::chrono::milliseconds page_deadline{2500};
-// Leases last for seconds: a later answer is of no use.
+// Leases last for seconds, so a later answer would be useless.
 constexpr std::chrono::milliseconds lease_deadline{1000};
-// How much later than asked for the answer to a watch may come.
-constexpr std::chrono::milliseconds watch_delay{1500};
-// Watches stay open beside the other requests.
-constexpr std::size_t connections = 16;
-// In bytes. A page of a listing has up to 1000 values.
-constexpr std::size_t largest_answer = 8 << 20;
+// How long after the requested wait the answer to a watch may arrive.
+constexpr std::chrono::milliseconds max_watch_delay{1500};
+// Open watches occupy connections in addition to other requests.
+constexpr std::size_t max_connections = 16;
+// Large enough for a page of a listing, which has up to 1000 values.
+constexpr std::size_t max_response_bytes = 8 << 20;
 
 Outcome outcome_of(const Reply& reply) {
     switch (reply.status) {
@@ -45,7 +46,8 @@
     }
 }
 
-Json swap_request(const std::vector<Precondition>& preconditions, std::vector<Operation> operations) {
+Json compare_and_swap_request(const std::vector<Precondition>& preconditions,
+                              std::vector<Operation> operations) {
     Json conditions = Json::array(), changes = Json::array();
     for (auto& precondition : preconditions)
         conditions.push_back({{"key", precondition.key}, {"mark", precondition.version}});
@@ -88,14 +90,14 @@
 StateClient::StateClient(net::asio::io_context& io, std::string address, double rps, double write_rps,
                          std::size_t nodes)
     : address_(std::move(address)),
-      client_(io, connections),
-      requests_(rps * leader_requests, rps * leader_request_burst),
-      writes_(write_rps * leader_writes, write_rps * leader_write_burst),
-      lookups_(rps * lookup_requests / static_cast<double>(std::max<std::size_t>(1, nodes)),
-               rps * lookup_burst / static_cast<double>(std::max<std::size_t>(1, nodes))) {}
-
-void StateClient::note(const Reply& reply) {
-    // 429 is an answer: the service is there.
+      client_(io, max_connections),
+      request_budget_(rps * leader_request_share, rps * leader_request_burst_share),
+      write_budget_(write_rps * leader_write_share, write_rps * leader_write_burst_share),
+      lookup_budget_(rps * lookup_share / static_cast<double>(std::max<std::size_t>(1, nodes)),
+                     rps * lookup_burst_share / static_cast<double>(std::max<std::size_t>(1, nodes))) {}
+
+void StateClient::record_reply(const Reply& reply) {
+    // Status 429 (rate limit exceeded) also proves that the service is available.
     const bool answered = reply.status != 0 && reply.status != 503;
     if (!answered && last_failure_ <= last_response_) failing_since_ = Clock::now();
     (answered ? last_response_ : last_failure_) = Clock::now();
@@ -103,22 +105,22 @@
 }
 
 Task<> StateClient::wait_for_request_budget() {
-    auto wait = requests_.reserve(Clock::now(), 1);
+    auto wait = request_budget_.reserve(Clock::now(), 1);
     if (wait > Clock::duration::zero()) co_await net::sleep_for(wait);
 }
 
 Task<Reply> StateClient::call(verb method, std::string target, std::optional<Json> body,
                               Clock::duration deadline, Throttle throttle) {
     if (throttle == Throttle::wait) co_await wait_for_request_budget();
-    if (throttle == Throttle::charge_only) requests_.reserve(Clock::now(), 1);
-    auto reply =
-        co_await client_.call(address_, method, std::move(target), std::move(body), deadline, largest_answer);
-    note(reply);
+    if (throttle == Throttle::charge_only) request_budget_.reserve(Clock::now(), 1);
+    auto reply = co_await client_.call(address_, method, std::move(target), std::move(body), deadline,
+                                       max_response_bytes);
+    record_reply(reply);
     co_return reply;
 }
 
 Task<bool> StateClient::admit_lookup() {
-    auto wait = lookups_.reserve_within(Clock::now(), requests_of_a_lookup, longest_lookup_wait);
+    auto wait = lookup_budget_.reserve_within(Clock::now(), requests_per_lookup, max_lookup_wait);
     if (!wait) co_return false;
     if (*wait > Clock::duration::zero()) co_await net::sleep_for(*wait);
     co_return true;
@@ -129,16 +131,16 @@
     Value out;
     out.outcome = outcome_of(reply);
     if (out.outcome == Outcome::ok) {
-        const Json* v = wire::find(reply.body, "value");
+        const Json* value = wire::find(reply.body, "value");
         auto version = wire::count(reply.body, "mark");
-        if (!v || !version) {
+        if (!value || !version) {
             out.outcome = Outcome::unknown;
         } else {
-            out.value = *v;
+            out.value = *value;
             out.version = *version;
         }
     } else if (out.outcome == Outcome::absent) {
-        // Only the service's own 404 counts as proof of absence.
+        // Only a 404 with a revision comes from the service itself and proves absence.
         auto revision = wire::count(reply.body, "ledger");
         if (!revision) out.outcome = Outcome::unknown;
         out.version = revision.value_or(0);
@@ -169,8 +171,8 @@
 }
 
 Task<std::optional<Snapshot>> StateClient::snapshot() {
-    // One pass from the beginning: parts of different passes do not belong together. Machines whose jobs are
-    // missing would make running tasks look like waiting ones.
+    // All parts are read in one pass, because parts of different passes may be inconsistent: running tasks of
+    // a machine whose jobs are missing would be taken for waiting ones.
     Snapshot out;
     for (auto [part, prefix] :
          {std::pair{&out.jobs, "jobs/"}, std::pair{&out.progress, "progress/"},
@@ -185,10 +187,10 @@
                                                          std::vector<Operation> operations,
                                                          Clock::duration deadline, Throttle throttle) {
     if (throttle != Throttle::exempt) {
-        auto wait = writes_.reserve(Clock::now(), static_cast<double>(operations.size()));
+        auto wait = write_budget_.reserve(Clock::now(), static_cast<double>(operations.size()));
         if (throttle == Throttle::wait && wait > Clock::duration::zero()) co_await net::sleep_for(wait);
     }
-    Json body = swap_request(preconditions, std::move(operations));
+    Json body = compare_and_swap_request(preconditions, std::move(operations));
     auto reply = co_await call(verb::post, "/multi", std::move(body), deadline, throttle);
     CompareAndSwapResult out;
     out.outcome = outcome_of(reply);
@@ -223,10 +225,11 @@
     auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(wait).count();
     std::string target =
         "/follow?under=" + prefix + "&since=" + std::to_string(since) + "&wait_ms=" + std::to_string(ms);
-    // Watches do not count for or against the service: they stay open, silent, during an outage.
+    // Watches don't affect whether the service counts as responsive: they stay open without an answer during
+    // an outage.
     if (throttle != Throttle::exempt) co_await wait_for_request_budget();
     auto reply = co_await client_.call(address_, verb::get, std::move(target), std::nullopt,
-                                       wait + watch_delay, largest_answer);
+                                       wait + max_watch_delay, max_response_bytes);
     WatchResult out;
     out.too_old = reply.status == 410;
     const Json* events = reply.status == 200 ? wire::find(reply.body, "events") : nullptr;
