--- a/tests/offload_test.cpp
+++ b/tests/offload_test.cpp
@@ -14,18 +14,18 @@
 
 const TimePoint t0 = TimePoint{} + 1000s;
 
-Settings two() {
-    Settings s;
-    s.self = "east";
-    s.peer_cells = {{"north", {"127.0.0.1:1"}}, {"west", {"127.0.0.1:2"}}};
-    s.teams["desk"] = {"east", {"west"}};
-    s.teams["home"] = {"east", {}};
-    return s;
+Settings settings_of_east() {
+    Settings settings;
+    settings.self = "east";
+    settings.peer_cells = {{"north", {"127.0.0.1:1"}}, {"west", {"127.0.0.1:2"}}};
+    settings.teams["desk"] = {"east", {"west"}};
+    settings.teams["home"] = {"east", {}};
+    return settings;
 }
-CapacityDigest room(std::uint32_t machines, double cpus = 4) {
-    CapacityDigest d;
-    for (std::uint32_t i = 0; i < machines; ++i) d.add({cpus, 0, 32});
-    return d;
+CapacityDigest digest_of(std::uint32_t machines, double cpus = 4) {
+    CapacityDigest digest;
+    for (std::uint32_t i = 0; i < machines; ++i) digest.add({cpus, 0, 32});
+    return digest;
 }
 OffloadCandidate job(const std::string& id, std::uint32_t waiting, const std::string& team = "desk") {
     return {id, team, wire::JobKind::array, {1, 0, 1}, waiting, 60s};
@@ -33,112 +33,120 @@
 
 }  // namespace
 
-TEST(Offload, GoesWhereTheTeamMayAndRoomIsKnown) {
-    OffloadPlanner s;
-    EXPECT_TRUE(s.choose(two(), {job("wk-1", 10)}, t0, 8).empty()) << "nothing is known of the others";
-    s.on_digest("north", room(100), t0, t0);
-    EXPECT_TRUE(s.choose(two(), {job("wk-1", 10)}, t0, 8).empty()) << "its team may not run there";
-    s.on_digest("west", room(2), t0, t0);
-    auto out = s.choose(two(), {job("wk-1", 5), job("wk-2", 10), job("wk-3", 9, "home")}, t0, 8);
+TEST(OffloadPlanner, OffersTasksOnlyToPermittedCellsWithKnownFreeCapacity) {
+    OffloadPlanner planner;
+    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-1", 10)}, t0, 8).empty())
+        << "no digest of another cell has arrived";
+    planner.on_digest("north", digest_of(100), t0, t0);
+    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-1", 10)}, t0, 8).empty())
+        << "the team may not run in north";
+    planner.on_digest("west", digest_of(2), t0, t0);
+    auto out =
+        planner.choose(settings_of_east(), {job("wk-1", 5), job("wk-2", 10), job("wk-3", 9, "home")}, t0, 8);
     ASSERT_EQ(out.size(), 2u);
     EXPECT_EQ(out[0].tasks, 5u);
     EXPECT_EQ(out[0].to, "west");
-    EXPECT_EQ(out[1].tasks, 3u) << "no more than fits in all";
-    EXPECT_TRUE(s.choose(two(), {job("wk-1", 5)}, t0 + 10s, 8).empty()) << "an old view says nothing";
-    auto young = job("wk-1", 5);
-    young.waited = 1s;
-    EXPECT_TRUE(s.choose(two(), {young}, t0, 8).empty());
-    auto full = room(50);
+    EXPECT_EQ(out[1].tasks, 3u) << "the offers together fill the free capacity";
+    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-1", 5)}, t0 + 10s, 8).empty())
+        << "the digest is too old";
+    auto recent = job("wk-1", 5);
+    recent.waited = 1s;
+    EXPECT_TRUE(planner.choose(settings_of_east(), {recent}, t0, 8).empty());
+    auto full = digest_of(50);
     full.waiting = 1;
-    s.on_digest("west", full, t0, t0);
-    EXPECT_TRUE(s.choose(two(), {job("wk-1", 5)}, t0, 8).empty()) << "work waits there, too";
+    planner.on_digest("west", full, t0, t0);
+    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-1", 5)}, t0, 8).empty())
+        << "tasks also wait in west";
 }
 
-// The view is old by seconds: what was sent since is not in it.
-TEST(Offload, WhatWasSentCountsUntilADigestKnowsOfIt) {
-    OffloadPlanner s;
-    s.on_digest("west", room(2), t0, t0);
-    s.on_offer_sent("west", {1, 0, 1}, 8);
-    EXPECT_TRUE(s.choose(two(), {job("wk-2", 5)}, t0, 8).empty());
-    s.on_digest("west", room(2), t0 + 1s, t0 + 1s);
-    EXPECT_TRUE(s.choose(two(), {job("wk-2", 5)}, t0 + 1s, 8).empty()) << "the part is not answered yet";
-    s.on_offer_answered("west", t0 + 2s);
-    s.on_digest("west", room(2), t0 + 1900ms, t0 + 2100ms);
-    EXPECT_TRUE(s.choose(two(), {job("wk-2", 5)}, t0 + 2100ms, 8).empty()) << "asked before that";
-    s.on_digest("west", room(2), t0 + 2200ms, t0 + 2300ms);
-    EXPECT_EQ(s.choose(two(), {job("wk-2", 5)}, t0 + 2300ms, 8).size(), 1u);
-    s.on_offer_refused("west", t0 + 3s);
-    s.on_digest("west", room(2), t0 + 4s, t0 + 4s);
-    EXPECT_TRUE(s.choose(two(), {job("wk-2", 5)}, t0 + 4s, 8).empty()) << "it refused a moment ago";
+// A digest may be seconds old and does not include offers that were sent since it was requested.
+TEST(OffloadPlanner, SentOffersUseCapacityUntilADigestRequestedAfterTheirAnswerArrives) {
+    OffloadPlanner planner;
+    planner.on_digest("west", digest_of(2), t0, t0);
+    planner.on_offer_sent("west", {1, 0, 1}, 8);
+    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-2", 5)}, t0, 8).empty());
+    planner.on_digest("west", digest_of(2), t0 + 1s, t0 + 1s);
+    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-2", 5)}, t0 + 1s, 8).empty())
+        << "the offer has not been answered yet";
+    planner.on_offer_answered("west", t0 + 2s);
+    planner.on_digest("west", digest_of(2), t0 + 1900ms, t0 + 2100ms);
+    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-2", 5)}, t0 + 2100ms, 8).empty())
+        << "the digest was requested before the offer was answered";
+    planner.on_digest("west", digest_of(2), t0 + 2200ms, t0 + 2300ms);
+    EXPECT_EQ(planner.choose(settings_of_east(), {job("wk-2", 5)}, t0 + 2300ms, 8).size(), 1u);
+    planner.on_offer_refused("west", t0 + 3s);
+    planner.on_digest("west", digest_of(2), t0 + 4s, t0 + 4s);
+    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-2", 5)}, t0 + 4s, 8).empty())
+        << "west refused an offer a second ago";
 }
 
-TEST(Offload, ADigestNeverPromisesMoreThanThereIs) {
+TEST(CapacityDigest, NeverReportsMoreCapacityThanIsFree) {
     std::mt19937 random(7);
-    for (int turn = 0; turn < 300; ++turn) {
-        CapacityDigest d;
+    for (int round = 0; round < 300; ++round) {
+        CapacityDigest digest;
         std::vector<wire::Resources> machines;
         for (int i = 0; i < 60; ++i) {
             machines.push_back({static_cast<double>(random() % 33), 0, static_cast<double>(random() % 129)});
-            d.add(machines.back());
+            digest.add(machines.back());
         }
-        EXPECT_LE(d.free_capacities.size(), CapacityDigest::max_entries);
+        EXPECT_LE(digest.free_capacities.size(), CapacityDigest::max_entries);
         for (double cpus : {1.0, 3.0, 8.0}) {
             const wire::Resources need{cpus, 0, 2 * cpus};
-            std::uint32_t fits = 0;
-            for (auto m : machines)
-                for (; need.fits(m); m -= need) ++fits;
-            EXPECT_LE(d.fits(need), fits);
-            auto used = d;
+            std::uint32_t really_fit = 0;
+            for (auto free : machines)
+                for (; need.fits(free); free -= need) ++really_fit;
+            EXPECT_LE(digest.fits(need), really_fit);
+            auto used = digest;
             used.take(need, 5);
-            EXPECT_LE(used.fits(need) + std::min(5u, d.fits(need)), d.fits(need));
+            EXPECT_LE(used.fits(need) + std::min(5u, digest.fits(need)), digest.fits(need));
         }
-        auto again = parse_capacity_digest(*wire::decode(wire::encode(to_json(d))));
-        ASSERT_TRUE(again);
-        EXPECT_EQ(again->fits({1, 0, 1}), d.fits({1, 0, 1}));
+        auto parsed = parse_capacity_digest(*wire::decode(wire::encode(to_json(digest))));
+        ASSERT_TRUE(parsed);
+        EXPECT_EQ(parsed->fits({1, 0, 1}), digest.fits({1, 0, 1}));
     }
     EXPECT_FALSE(parse_capacity_digest({{"holes", {{1, 2}}}, {"waiting", 0}}));
 }
 
-TEST(CellRecords, AreReadAsTheyWereWritten) {
+TEST(CellRecords, RoundTripThroughJsonAndMalformedOnesAreRefused) {
     Fleet f;
-    StoredOrigin l;
-    l.to = "west";
-    l.record.epoch = 3;
-    l.record.open = true;
-    for (std::uint32_t i = 0; i < 400; i += 2) l.record.tasks.insert(i);
-    auto lent = parse_origin(to_json(l));
-    ASSERT_TRUE(lent);
-    EXPECT_EQ(lent->record.tasks.ranges(), l.record.tasks.ranges());
-    EXPECT_EQ(lent->record.epoch, 3u);
-    DelegationRequest r;
-    r.from = "east", r.job = "wk-7", r.epoch = 2, r.accepted_ms = 5;
-    r.spec = f.spec("wk-7", 10);
-    r.tasks.insert_range(4, 10);
-    auto request = parse_delegation_request(*wire::decode(wire::encode(to_json(r))));
-    ASSERT_TRUE(request);
-    EXPECT_EQ(request->tasks.size(), 6u);
-    EXPECT_EQ(request->spec->tasks, 10u);
-    r.tasks.insert_range(10, 11);
-    EXPECT_FALSE(parse_delegation_request(to_json(r))) << "a task that the job doesn't have";
-    r.spec.reset();
-    EXPECT_TRUE(parse_delegation_request(to_json(r))) << "a recall";
-    r.epoch = 0;
-    EXPECT_FALSE(parse_delegation_request(to_json(r)));
+    StoredOrigin origin;
+    origin.to = "west";
+    origin.record.epoch = 3;
+    origin.record.open = true;
+    for (std::uint32_t i = 0; i < 400; i += 2) origin.record.tasks.insert(i);
+    auto parsed_origin = parse_origin(to_json(origin));
+    ASSERT_TRUE(parsed_origin);
+    EXPECT_EQ(parsed_origin->record.tasks.ranges(), origin.record.tasks.ranges());
+    EXPECT_EQ(parsed_origin->record.epoch, 3u);
+    DelegationRequest request;
+    request.from = "east", request.job = "wk-7", request.epoch = 2, request.accepted_ms = 5;
+    request.spec = f.spec("wk-7", 10);
+    request.tasks.insert_range(4, 10);
+    auto parsed_request = parse_delegation_request(*wire::decode(wire::encode(to_json(request))));
+    ASSERT_TRUE(parsed_request);
+    EXPECT_EQ(parsed_request->tasks.size(), 6u);
+    EXPECT_EQ(parsed_request->spec->tasks, 10u);
+    request.tasks.insert_range(10, 11);
+    EXPECT_FALSE(parse_delegation_request(to_json(request))) << "the job has only 10 tasks";
+    request.spec.reset();
+    EXPECT_TRUE(parse_delegation_request(to_json(request))) << "a request without a job is a recall";
+    request.epoch = 0;
+    EXPECT_FALSE(parse_delegation_request(to_json(request)));
     for (auto status : {DelegationReply::Status::undecided, DelegationReply::Status::executing,
                         DelegationReply::Status::closed}) {
-        DelegationReply a;
-        a.status = status, a.epoch = 9;
-        a.done.insert(5);
-        auto answer = parse_delegation_reply(to_json(a));
-        ASSERT_TRUE(answer);
-        EXPECT_EQ(answer->status, status);
-        EXPECT_EQ(answer->done.size(), 1u);
+        DelegationReply reply;
+        reply.status = status, reply.epoch = 9;
+        reply.done.insert(5);
+        auto parsed_reply = parse_delegation_reply(to_json(reply));
+        ASSERT_TRUE(parsed_reply);
+        EXPECT_EQ(parsed_reply->status, status);
+        EXPECT_EQ(parsed_reply->done.size(), 1u);
     }
     EXPECT_FALSE(parse_executor(wire::Json::object()));
 }
 
-TEST(CellSettings, FaultsAreNamedByPlace) {
-    auto fault = [](const std::string& text, const std::set<std::string>& limited = {}) {
+TEST(CellSettings, ErrorsNameTheOffendingSetting) {
+    auto error_of = [](const std::string& text, const std::set<std::string>& limited = {}) {
         try {
             config::parse_cells(wire::Json::parse(text), limited);
         } catch (const config::ConfigError& e) {
@@ -148,18 +156,18 @@
     };
     const std::string good =
         R"({"self":"east","neighbours":{"west":{"nodes":["127.0.0.1:1"]}},"teams":{"desk":{"home":"east","run_in":["west"]}}})";
-    EXPECT_EQ(fault(good), "");
-    EXPECT_NE(fault(good, {"desk"}).find("teams.desk.run_in"), std::string::npos);
-    EXPECT_NE(
-        fault(R"({"self":"east","neighbours":{"east":{"nodes":["x"]}},"teams":{}})").find("neighbours.east"),
-        std::string::npos);
-    EXPECT_NE(
-        fault(R"({"self":"east","neighbours":{},"teams":{"desk":{"home":"north"}}})").find("teams.desk.home"),
-        std::string::npos);
-    EXPECT_NE(fault(R"({"self":"east","neighbours":{},"teams":{},"spil_after_s":3})").find("spil_after_s"),
+    EXPECT_EQ(error_of(good), "");
+    EXPECT_NE(error_of(good, {"desk"}).find("teams.desk.run_in"), std::string::npos);
+    EXPECT_NE(error_of(R"({"self":"east","neighbours":{"east":{"nodes":["x"]}},"teams":{}})")
+                  .find("neighbours.east"),
+              std::string::npos);
+    EXPECT_NE(error_of(R"({"self":"east","neighbours":{},"teams":{"desk":{"home":"north"}}})")
+                  .find("teams.desk.home"),
+              std::string::npos);
+    EXPECT_NE(error_of(R"({"self":"east","neighbours":{},"teams":{},"spil_after_s":3})").find("spil_after_s"),
               std::string::npos);
     EXPECT_NE(
-        fault(R"({"self":"east","neighbours":{},"teams":{},"return_after_s":{"batch":0}})").find("batch"),
+        error_of(R"({"self":"east","neighbours":{},"teams":{},"return_after_s":{"batch":0}})").find("batch"),
         std::string::npos);
     auto given = config::parse_cells(
         wire::Json::parse(R"({"self":"east","neighbours":{},"teams":{},"return_after_s":{"batch":90.5}})"),
@@ -167,40 +175,41 @@
     EXPECT_EQ(given.return_after.at("batch"), 90'500ms);
 }
 
-// The end of a shard outlives processes and ways between cells, and one that is no moment is no part.
-TEST(Parts, TheirEndsAreOnRecordAndSent) {
+// The deadline of a shard must survive restarts and the way between cells; a request with a malformed
+// deadline is refused.
+TEST(DelegationDeadline, IsStoredAndSentAndRefusedIfMalformed) {
     const auto job_of_two = Fleet().spec("wk-1", 2);
-    const DayTime end{1'790'000'000'123ms};
+    const DayTime deadline{1'790'000'000'123ms};
     IndexSet tasks;
     tasks.insert(1);
-    StoredOrigin lent{"west", {3, true, tasks, end}};
-    ASSERT_TRUE(parse_origin(to_json(lent)));
-    EXPECT_EQ(parse_origin(to_json(lent))->record.deadline, end);
-    DelegationRequest request{"east", "wk-1", 3, job_of_two, tasks, 5, end};
+    StoredOrigin stored_origin{"west", {3, true, tasks, deadline}};
+    ASSERT_TRUE(parse_origin(to_json(stored_origin)));
+    EXPECT_EQ(parse_origin(to_json(stored_origin))->record.deadline, deadline);
+    DelegationRequest request{"east", "wk-1", 3, job_of_two, tasks, 5, deadline};
     ASSERT_TRUE(parse_delegation_request(to_json(request)));
-    EXPECT_EQ(parse_delegation_request(to_json(request))->deadline, end);
-    StoredExecutor held;
-    held.owner = "east", held.spec = job_of_two, held.accepted_ms = 5;
-    held.record.epoch = 3, held.record.executing = true;
-    held.record.tasks = tasks, held.record.deadline = end;
-    ASSERT_TRUE(parse_executor(to_json(held)));
-    EXPECT_EQ(parse_executor(to_json(held))->record.deadline, end);
-    auto bad = to_json(request);
-    bad["until"] = -1;
-    EXPECT_FALSE(parse_delegation_request(bad));
-    auto without = request;
-    without.deadline.reset();
-    EXPECT_FALSE(parse_delegation_request(to_json(without))->deadline);
+    EXPECT_EQ(parse_delegation_request(to_json(request))->deadline, deadline);
+    StoredExecutor stored_executor;
+    stored_executor.owner = "east", stored_executor.spec = job_of_two, stored_executor.accepted_ms = 5;
+    stored_executor.record.epoch = 3, stored_executor.record.executing = true;
+    stored_executor.record.tasks = tasks, stored_executor.record.deadline = deadline;
+    ASSERT_TRUE(parse_executor(to_json(stored_executor)));
+    EXPECT_EQ(parse_executor(to_json(stored_executor))->record.deadline, deadline);
+    auto malformed = to_json(request);
+    malformed["until"] = -1;
+    EXPECT_FALSE(parse_delegation_request(malformed));
+    auto without_deadline = request;
+    without_deadline.deadline.reset();
+    EXPECT_FALSE(parse_delegation_request(to_json(without_deadline))->deadline);
 }
 
-// A part at the executor: only its tasks are started, what is done stays with the worker until it is on
-// record, and nothing of the job's records is written there.
-TEST(Borrowed, OnlyThePartRunsAndItsRecordsAreNotThisCellsOwn) {
+// The executor starts only the tasks of the shard, keeps finished tasks on the worker until their results are
+// recorded, and writes none of the job's own records.
+TEST(DelegatedShard, ExecutorRunsOnlyTasksOfTheShardAndWritesNoRecordsOfTheJob) {
     Fleet f;
     f.up("n-1");
-    cells::IndexSet part;
-    part.insert_range(2, 4);
-    f.cluster->add_delegated_shard({f.spec("wk-1", 10), 5}, part, {}, f.now, f.wall);
+    cells::IndexSet shard;
+    shard.insert_range(2, 4);
+    f.cluster->add_delegated_shard({f.spec("wk-1", 10), 5}, shard, {}, f.now, f.wall);
     f.place_all();
     f.run("n-1");
     std::set<std::uint32_t> started;
@@ -212,27 +221,28 @@
     f.cluster->on_heartbeat(f.heartbeat("n-1", ended), true, f.now);
     EXPECT_EQ(f.cluster->take_changed_delegated_shards().size(), 1u);
     for (auto& w : f.write()) EXPECT_TRUE(state::parse_assignment_shard_key(w.key)) << w.key;
-    auto reaps = [&] {
-        int n = 0;
-        for (auto& c : f.cluster->push_commands(f.machine("n-1"), f.now)) n += c.verb == Verb::reap;
-        return n;
+    auto count_reap_commands = [&] {
+        int count = 0;
+        for (auto& command : f.cluster->push_commands(f.machine("n-1"), f.now))
+            count += command.verb == Verb::reap;
+        return count;
     };
-    EXPECT_EQ(reaps(), 0);
+    EXPECT_EQ(count_reap_commands(), 0);
     auto& job = *f.cluster->find_job("wk-1");
-    f.cluster->delegated_results_recorded(job, part);
-    EXPECT_EQ(reaps(), 2);
+    f.cluster->delegated_results_recorded(job, shard);
+    EXPECT_EQ(count_reap_commands(), 2);
     f.cluster->drop_delegated_shard(job);
     EXPECT_EQ(f.cluster->find_job("wk-1"), nullptr);
     EXPECT_EQ(f.cluster->queue().waiting(), 0u);
 }
 
-TEST(StoredOrigin, TasksThatAreAwayAreNotStartedAndKeepTheJobOpen) {
+TEST(DelegatedShard, OriginDoesNotStartDelegatedTasksAndKeepsTheJobOpen) {
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1", 10));
-    auto away = f.cluster->delegate(job, 7);
-    EXPECT_EQ(away.size(), 7u);
-    EXPECT_TRUE(away.contains(9));
+    auto delegated = f.cluster->delegate(job, 7);
+    EXPECT_EQ(delegated.size(), 7u);
+    EXPECT_TRUE(delegated.contains(9));
     f.place_all();
     f.run("n-1");
     EXPECT_EQ(f.on("n-1").size(), 3u);
@@ -241,31 +251,31 @@
     f.cluster->on_heartbeat(f.heartbeat("n-1", ended), true, f.now);
     f.write();
     EXPECT_EQ(job.job_state(), wire::JobState::running);
-    // All of it is done, and not over before the shard is closed.
+    // The job does not finish before the shard is closed, even if all its tasks are done.
     for (std::uint32_t i = 3; i < 10; ++i) f.cluster->finish_delegated(job, i);
     f.write();
     ASSERT_NE(f.cluster->find_job("wk-1"), nullptr);
-    f.cluster->reclaim_delegated(job, away, away);
+    f.cluster->reclaim_delegated(job, delegated, delegated);
     f.write();
     EXPECT_EQ(f.cluster->find_job("wk-1"), nullptr);
     EXPECT_EQ(f.cluster->finished_job("wk-1")->state, wire::JobState::done);
 }
 
-TEST(StoredOrigin, WhatComesBackUndoneWaitsAgain) {
+TEST(DelegatedShard, UnfinishedTasksOfAReclaimedShardWaitAgainUnlessTheJobIsCancelled) {
     Fleet f;
     auto& job = f.add(f.spec("wk-1", 10));
-    auto away = f.cluster->delegate(job, 4);
+    auto delegated = f.cluster->delegate(job, 4);
     cells::IndexSet done;
     done.insert(9);
-    f.cluster->reclaim_delegated(job, away, done);
+    f.cluster->reclaim_delegated(job, delegated, done);
     EXPECT_EQ(job.waiting.size(), 9u);
     EXPECT_TRUE(job.done.contains(9));
-    // Not of a job that is cancelled meanwhile.
-    away = f.cluster->delegate(job, 4);
+    // Tasks of a job that was cancelled in the meantime don't wait again.
+    delegated = f.cluster->delegate(job, 4);
     f.cluster->cancel(job, f.now);
     f.write();
-    ASSERT_NE(f.cluster->find_job("wk-1"), nullptr) << "its part is still out";
-    f.cluster->reclaim_delegated(job, away, {});
+    ASSERT_NE(f.cluster->find_job("wk-1"), nullptr) << "a shard of the job is still delegated";
+    f.cluster->reclaim_delegated(job, delegated, {});
     EXPECT_TRUE(job.waiting.empty());
     f.write();
     EXPECT_EQ(f.cluster->find_job("wk-1"), nullptr);
--- a/tests/cut_history.hpp
+++ b/tests/partition_history.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// One drawn history of placement: zones that are cut off with messages held, workers whose leases expire and
-// that begin new agent epochs, machines that boot late, leaders that end between any two writes.
+// One random history of placement: network partitions of a zone that delay messages, workers whose leases
+// expire and that start new agent epochs, machines that boot late, and failovers between any two writes.
 #include <spdlog/fmt/fmt.h>
 
 #include <random>
@@ -13,156 +13,160 @@
 using wire::JobKind;
 using wire::Priority;
 
-struct CutHistory {
+struct PartitionHistory {
     static constexpr double lease_s = 10, cancel_s = 22;
     std::mt19937_64 random;
     placement::Config rules;
-    TimePoint now = TimePoint{} + 1000s, cut_until{};
+    TimePoint now = TimePoint{} + 1000s, partition_end{};
     std::int64_t wall = 1'000'000;
     std::uint64_t fencing_token = 10;
     std::unique_ptr<Cluster> cluster;
     Records records;
     struct Worker : SimulatedWorker {
         std::string zone;
-        double clock = 1;  // how fast its steady clock runs
-        TimePoint renewed{};
+        double clock_rate = 1;  // speed of its steady clock
+        TimePoint lease_renewed{};
     };
     std::map<std::string, Worker> workers;
-    std::map<std::string, TimePoint> booting;
-    // Messages that a cut holds back: pushes to the workers, reports to whoever leads by then.
-    struct HeldMessage {
+    std::map<std::string, TimePoint> booting;  // when each booting machine is up
+    // A message that a partition delays: commands pushed to a worker, or a worker's heartbeat. The heartbeat
+    // goes to the node that leads when it is delivered.
+    struct DelayedMessage {
         std::string machine;
         std::uint64_t fencing_token, agent_epoch;
         std::vector<Command> commands;
         std::optional<WorkerHeartbeat> heartbeat;
     };
-    std::vector<HeldMessage> held, late;
-    // A node in zone b. It loses the leader with the zone, or when no leader is there; its signs of life may
-    // be held, and it may be started anew.
-    Clock::duration keep = leases::renewal_period(lease_s, cancel_s);
+    std::vector<DelayedMessage> delayed_by_partition, late;
+    // A controller node in zone b. It can't reach the leader during a partition of the zone or while there is
+    // no leader. Its heartbeats may be delayed, and it may be restarted.
+    Clock::duration renewal_period = leases::renewal_period(lease_s, cancel_s);
     std::unique_ptr<leases::LeaseRenewer> node;
     std::unique_ptr<leases::RenewalBound> bound;
-    std::vector<leases::Heartbeat> held_heartbeats;
-    std::map<std::string, TimePoint> cancelled;  // told to the user
-    std::size_t kept = 0;
+    std::vector<leases::Heartbeat> delayed_heartbeats;
+    std::map<std::string, TimePoint> cancelled;  // when the user was told of each cancellation
+    std::size_t renewals_by_node = 0;
     std::map<std::string, wire::JobSpec> jobs;
-    int ids = 0, names = 0;
-    std::size_t starts = 0, agent_epochs = 0, failovers = 0, leases_over = 0;
-    std::string broken;
+    int job_count = 0, machine_count = 0;
+    std::size_t starts = 0, agent_epochs = 0, failovers = 0, expired_leases = 0;
+    std::string violation;  // empty if no rule was violated
 
-    explicit CutHistory(std::uint64_t seed) : random(seed) {
+    explicit PartitionHistory(std::uint64_t seed) : random(seed) {
         rules.teams["crew"] = {};
         rules.lease_s = lease_s;
         rules.cancel_s = cancel_s;
-        node = std::make_unique<leases::LeaseRenewer>("b", keep, now);
+        node = std::make_unique<leases::LeaseRenewer>("b", renewal_period, now);
         lead();
         for (int i = 0; i < 4; ++i) boot(i % 2 ? "b" : "a", now);
         advance(0s);
         for (auto& [name, w] : workers) send_heartbeat(name);
     }
     std::uint64_t pick(std::uint64_t n) { return random() % n; }
-    bool cut(const Worker& w) const { return w.zone == "b" && now < cut_until; }
+    bool partitioned(const Worker& w) const { return w.zone == "b" && now < partition_end; }
     void boot(const std::string& zone, TimePoint up) {
-        auto name = "n-" + std::to_string(++names);
+        auto name = "n-" + std::to_string(++machine_count);
         auto& m = cluster->add_machine(name, "small", zone, false, now);
         m.address = "127.0.0.1:9";
         cluster->mark_machine_changed(name);
         workers[name].zone = zone;
-        workers[name].clock = 1 + (static_cast<double>(pick(3)) - 1) * 0.0005;
+        workers[name].clock_rate = 1 + (static_cast<double>(pick(3)) - 1) * 0.0005;
         booting[name] = up;
     }
     void lead() {
         ++fencing_token;
         cluster = std::make_unique<Cluster>(rules);
         cluster->lead(fencing_token, now);
-        bound =
-            std::make_unique<leases::RenewalBound>(std::set<std::string>{"south"}, keep, now, fencing_token);
+        bound = std::make_unique<leases::RenewalBound>(std::set<std::string>{"south"}, renewal_period, now,
+                                                       fencing_token);
         cluster->set_types({{"small", 4, 0, 32, 30, 0.5, 1.0, 0.2, 25, {"a", "b"}}});
         records.read_into(*cluster, now, wall);
-        // Whatever its records don't say the cloud lists.
+        // Machines that are missing in the records are added from the cloud's list.
         for (auto& [name, w] : workers) {
             auto& m = cluster->add_machine(name, "small", w.zone, false, now);
             m.address = "127.0.0.1:9";
         }
     }
     void advance(Clock::duration d) {
-        const bool was_cut = now < cut_until;
+        const bool was_partitioned = now < partition_end;
         now += d;
         for (auto it = booting.begin(); it != booting.end();) {
             if (now < it->second) {
                 ++it;
                 continue;
             }
-            workers[it->first].renewed = now;
+            workers[it->first].lease_renewed = now;
             it = booting.erase(it);
         }
         for (auto& [name, w] : workers) {
             if (booting.contains(name)) continue;
-            while (Seconds(now - w.renewed).count() * w.clock > lease_s) {
-                w.renewed += secs(lease_s / w.clock);
+            while (Seconds(now - w.lease_renewed).count() * w.clock_rate > lease_s) {
+                w.lease_renewed += secs(lease_s / w.clock_rate);
                 w.agent_epoch++, agent_epochs++;
                 w.tasks.clear();
             }
         }
-        if (was_cut && now >= cut_until) {
-            for (auto& h : std::exchange(held, {})) deliver(h);
-            for (auto& s : std::exchange(held_heartbeats, {})) bound->heard("south", s, now, true);
+        if (was_partitioned && now >= partition_end) {
+            for (auto& message : std::exchange(delayed_by_partition, {})) deliver(message);
+            for (auto& heartbeat : std::exchange(delayed_heartbeats, {}))
+                bound->heard("south", heartbeat, now, true);
         }
-        for (auto& [id, told] : cancelled)
-            if (now > told + secs(cancel_s))
+        for (auto& [id, confirmed] : cancelled)
+            if (now > confirmed + secs(cancel_s))
                 for (auto& [name, w] : workers)
                     for (auto& [a, s] : w.tasks)
                         if (a.task.job == id && s.first != TaskState::exited)
-                            broken = fmt::format("{} is still on {}", a.task.str(), name);
+                            violation = fmt::format("task {} of a cancelled job is still on machine {}",
+                                                    a.task.str(), name);
     }
-    void sign_of_life() {
+    void send_node_heartbeat() {
         auto heartbeat = node->heartbeat(now);
-        if (now < cut_until) {
-            held_heartbeats.push_back(heartbeat);
+        if (now < partition_end) {
+            delayed_heartbeats.push_back(heartbeat);
             return;
         }
-        const auto how = pick(6);
-        if (how == 0) return;  // lost
+        const auto outcome = pick(6);
+        if (outcome == 0) return;  // the heartbeat is lost
         bound->heard("south", heartbeat, now, true);
-        if (how == 1) return;  // its answer is
+        if (outcome == 1) return;  // the answer is lost
         node->granted(
             now, now,
             {fencing_token, bound->timestamp_ms(now), false, cluster->machines_with_cancelled_tasks()});
     }
-    // Cut off with its zone, the node answers its workers by itself as far as it may.
-    void keep_lease(const std::string& name) {
+    // The node renews the lease of a worker in its partitioned zone if it may.
+    void renew_by_node(const std::string& name) {
         Worker& w = workers[name];
-        if (booting.contains(name) || !cut(w) || !node->may_renew_cut_off(heartbeat(name), now, true)) return;
-        if (node->fencing_token() < w.fencing_token) return;  // dropped
+        if (booting.contains(name) || !partitioned(w) || !node->may_renew_cut_off(heartbeat(name), now, true))
+            return;
+        if (node->fencing_token() < w.fencing_token) return;  // the worker ignores the answer
         w.fencing_token = node->fencing_token();
-        w.renewed = now;
-        ++kept;
+        w.lease_renewed = now;
+        ++renewals_by_node;
     }
-    void deliver(HeldMessage& h) {
-        auto w = workers.find(h.machine);
+    void deliver(DelayedMessage& message) {
+        auto w = workers.find(message.machine);
         if (w == workers.end()) return;
-        if (h.heartbeat) {
-            // Its sender has given up: the answer reaches nobody.
-            if (cluster->on_heartbeat(*h.heartbeat, true, now)) {
-                auto* m = cluster->find_machine(h.machine);
+        if (message.heartbeat) {
+            // The worker's request has timed out, so it does not receive the answer.
+            if (cluster->on_heartbeat(*message.heartbeat, true, now)) {
+                auto* m = cluster->find_machine(message.machine);
                 cluster->reply_commands(*m, now);
                 m->last_answer = now;
             }
         } else {
-            execute(h.machine, h.fencing_token, h.agent_epoch, h.commands);
+            execute(message.machine, message.fencing_token, message.agent_epoch, message.commands);
         }
     }
     WorkerHeartbeat heartbeat(const std::string& name) {
         Worker& w = workers[name];
         return w.next_heartbeat(name, w.zone);
     }
-    bool execute(const std::string& name, std::uint64_t under, std::uint64_t agent_epoch,
+    bool execute(const std::string& name, std::uint64_t command_token, std::uint64_t agent_epoch,
                  const std::vector<Command>& commands) {
         Worker& w = workers[name];
         if (agent_epoch != w.agent_epoch) return false;
-        return w.execute(under, commands, [&](const Attempt& attempt) { start(name, w, attempt); });
+        return w.execute(command_token, commands, [&](const Attempt& attempt) { start(name, w, attempt); });
     }
-    // The rules, at the moment of a start.
+    // Starts an attempt on a worker, and checks the rules that apply to a start.
     void start(const std::string& name, Worker& w, const Attempt& a) {
         const auto& spec = jobs.at(a.task.job);
         double used = 0;
@@ -172,37 +176,40 @@
             w.tasks[a] = {TaskState::exited, Cause::no_room};
             return;
         }
-        std::uint32_t here = 0, elsewhere = 0;
+        std::uint32_t in_zone = 0, in_other_zones = 0;
         for (auto& [other, o] : workers)
             for (auto& [b, s] : o.tasks) {
                 if (s.first == TaskState::exited || b.task.job != a.task.job) continue;
-                (o.zone == w.zone ? here : elsewhere)++;
+                (o.zone == w.zone ? in_zone : in_other_zones)++;
                 if (b.task == a.task)
-                    broken = fmt::format("{} runs on {} and is started on {}", a.task.str(), other, name);
+                    violation = fmt::format("task {} runs on machine {} and is also started on machine {}",
+                                            a.task.str(), other, name);
             }
-        if (spec.spread && here + 1 > (spec.tasks + 1) / 2)
-            broken = fmt::format("{}: {} of {} in one zone", a.task.str(), here + 1, spec.tasks);
-        if (spec.one_zone && elsewhere > 0) broken = a.task.str() + " starts in another zone";
+        if (spec.spread && in_zone + 1 > (spec.tasks + 1) / 2)
+            violation =
+                fmt::format("task {}: {} of {} replicas in one zone", a.task.str(), in_zone + 1, spec.tasks);
+        if (spec.one_zone && in_other_zones > 0)
+            violation = a.task.str() + " starts in another zone than its gang";
         w.tasks[a] = {TaskState::running, Cause::none};
         ++starts;
     }
     void send_heartbeat(const std::string& name) {
         Worker& w = workers[name];
         if (booting.contains(name)) return;
-        if (cut(w) && pick(3)) return keep_lease(name);
-        auto r = heartbeat(name);
-        if (cut(w)) {
-            held.push_back({name, 0, 0, {}, r});
+        if (partitioned(w) && pick(3)) return renew_by_node(name);
+        auto sent_heartbeat = heartbeat(name);
+        if (partitioned(w)) {
+            delayed_by_partition.push_back({name, 0, 0, {}, sent_heartbeat});
             return;
         }
-        if (pick(8) == 0) return;  // lost
+        if (pick(8) == 0) return;  // the heartbeat is lost
         auto sent = now;
-        if (!cluster->on_heartbeat(r, true, now)) return;
+        if (!cluster->on_heartbeat(sent_heartbeat, true, now)) return;
         auto* m = cluster->find_machine(name);
         m->last_answer = now;
         auto commands = cluster->reply_commands(*m, now);
-        if (pick(8) == 0) return;  // the answer is lost, or comes after four seconds
-        if (execute(name, fencing_token, w.agent_epoch, commands)) w.renewed = sent;
+        if (pick(8) == 0) return;  // the answer is lost, or arrives after 4 s and is ignored
+        if (execute(name, fencing_token, w.agent_epoch, commands)) w.lease_renewed = sent;
     }
     void push(const std::string& name) {
         auto* m = cluster->find_machine(name);
@@ -212,17 +219,17 @@
         Worker& w = workers[name];
         if (booting.contains(name))
             return cluster->push_answered(*m, commands, fencing_token, false, false, now);
-        if (cut(w)) {
-            held.push_back({name, fencing_token, m->agent_epoch, commands, {}});
+        if (partitioned(w)) {
+            delayed_by_partition.push_back({name, fencing_token, m->agent_epoch, commands, {}});
             return cluster->push_answered(*m, commands, fencing_token, false, true, now);
         }
-        auto how = pick(8);
-        if (how == 0) {  // late, or lost: nobody can tell
+        auto outcome = pick(8);
+        if (outcome == 0) {  // the push is delayed or lost, which the leader can't distinguish
             if (pick(2)) late.push_back({name, fencing_token, m->agent_epoch, commands, {}});
             return cluster->push_answered(*m, commands, fencing_token, false, true, now);
         }
         bool ok = execute(name, fencing_token, m->agent_epoch, commands);
-        if (how == 1) return cluster->push_answered(*m, commands, fencing_token, false, true, now);
+        if (outcome == 1) return cluster->push_answered(*m, commands, fencing_token, false, true, now);
         cluster->push_answered(*m, commands, fencing_token, ok, false, now);
         cluster->on_heartbeat(heartbeat(name), false, now);
     }
@@ -232,38 +239,40 @@
             if (writes.empty()) return;
             if (crash && pick(2) == 0) {
                 if (pick(2) == 0) records.apply(writes);
-                return successor();
+                return fail_over();
             }
             records.apply(writes);
             for (auto& w : writes)
                 if (w.durable) w.durable();
         }
     }
-    void successor() {
+    void fail_over() {
         ++failovers;
         advance(std::chrono::milliseconds(1000 + pick(2500)));
         lead();
     }
-    std::string any() { return std::next(workers.begin(), static_cast<long>(pick(workers.size())))->first; }
-    // A job of any kind is accepted.
+    std::string any_machine() {
+        return std::next(workers.begin(), static_cast<long>(pick(workers.size())))->first;
+    }
+    // Accepts a random job.
     void submit_job() {
-        wire::JobSpec s;
-        s.id = "wk-" + std::to_string(++ids);
-        s.job_class = "batch", s.image = "img", s.team = "crew";
-        s.tasks = static_cast<std::uint32_t>(1 + pick(5));
-        s.need = {static_cast<double>(1 + pick(2)), 0, 1};
-        s.priority = static_cast<Priority>(pick(4));
-        if (pick(4) == 0) s.kind = JobKind::gang, s.tasks = 2, s.one_zone = pick(2);
-        if (s.kind != JobKind::gang && pick(3) == 0) s.kind = JobKind::service, s.spread = pick(2);
-        if (pick(2)) s.checkpoint_s = 5, s.save_s = 1;
-        jobs[s.id] = s;
-        state::JobRecord record{s, wall++};
+        wire::JobSpec spec;
+        spec.id = "wk-" + std::to_string(++job_count);
+        spec.job_class = "batch", spec.image = "img", spec.team = "crew";
+        spec.tasks = static_cast<std::uint32_t>(1 + pick(5));
+        spec.need = {static_cast<double>(1 + pick(2)), 0, 1};
+        spec.priority = static_cast<Priority>(pick(4));
+        if (pick(4) == 0) spec.kind = JobKind::gang, spec.tasks = 2, spec.one_zone = pick(2);
+        if (spec.kind != JobKind::gang && pick(3) == 0) spec.kind = JobKind::service, spec.spread = pick(2);
+        if (pick(2)) spec.checkpoint_s = 5, spec.save_s = 1;
+        jobs[spec.id] = spec;
+        state::JobRecord record{spec, wall++};
         records.accept(record);
         cluster->add_job(record, nullptr, now, wall);
     }
-    // A task on some machine may end, and its worker sends a heartbeat.
+    // Ends a task on a random machine, or none, and sends the worker's heartbeat.
     void end_task_and_report() {
-        auto name = any();
+        auto name = any_machine();
         for (auto& [a, s] : workers[name].tasks)
             if (s.first == TaskState::running && jobs[a.task.job].kind == JobKind::array && pick(4) == 0) {
                 s = {TaskState::exited, pick(6) ? Cause::done : Cause::error};
@@ -271,41 +280,41 @@
             }
         send_heartbeat(name);
     }
-    // The oldest late push arrives.
+    // Delivers the oldest delayed push.
     void deliver_late_commands() {
         if (!late.empty()) {
-            auto l = late.front();
+            auto message = late.front();
             late.erase(late.begin());
-            deliver(l);
+            deliver(message);
         }
     }
-    // A machine may boot, another may be returned.
+    // Sometimes boots a machine, and sometimes returns another one.
     void scale_fleet() {
         if (pick(4) == 0) boot(pick(2) ? "a" : "b", now + secs(static_cast<double>(pick(15))));
         if (workers.size() > 4 && pick(4) == 0) {
-            // Returned, with an answer: it is gone with all that is on it.
+            // The cloud has confirmed the return: the machine and everything on it are gone.
             auto name = workers.begin()->first;
             workers.erase(name);
             booting.erase(name);
             cluster->machine_gone(name, "returned", now);
         }
     }
-    // Time passes, in which a node that is cut off may renew leases of its zone.
+    // Advances the clock; during a partition the node in the zone may renew leases of its workers.
     void pass_time() {
-        sign_of_life();
+        send_node_heartbeat();
         advance(std::chrono::milliseconds(200 + pick(4000)));
-        sign_of_life();
-        if (now < cut_until)
+        send_node_heartbeat();
+        if (now < partition_end)
             for (auto& [name, w] : workers)
-                if (pick(2)) keep_lease(name);
-        if (pick(40) == 0) node = std::make_unique<leases::LeaseRenewer>("b", keep, now);
-        std::size_t live = 0, after = 0;
-        for (auto& [name, m] : cluster->machines()) live += m->assignments.size();
+                if (pick(2)) renew_by_node(name);
+        if (pick(40) == 0) node = std::make_unique<leases::LeaseRenewer>("b", renewal_period, now);
+        std::size_t before = 0, after = 0;
+        for (auto& [name, m] : cluster->machines()) before += m->assignments.size();
         cluster->tick(now, [&](const std::string& zone) { return bound->latest_renewal(zone, now); });
         for (auto& [name, m] : cluster->machines()) after += m->assignments.size();
-        leases_over += after < live;
+        expired_leases += after < before;
     }
-    // A user cancels a job, and is told so once it is on record.
+    // Cancels a random job; the user is told once the cancellation is recorded.
     void cancel_any_job() {
         if (!jobs.empty() && pick(4) == 0) {
             auto it = std::next(jobs.begin(), static_cast<long>(pick(jobs.size())));
@@ -328,7 +337,7 @@
             case 4:
             case 5:
             case 6:
-                return push(any());
+                return push(any_machine());
             case 7:
             case 8:
             case 9:
@@ -339,8 +348,8 @@
                 cluster->schedule_round(now);
                 return write(pick(4) == 0);
             case 12:
-                if (now >= cut_until && pick(3) == 0)
-                    cut_until = now + secs(2 + static_cast<double>(pick(25)));
+                if (now >= partition_end && pick(3) == 0)
+                    partition_end = now + secs(2 + static_cast<double>(pick(25)));
                 return;
             case 13:
                 return scale_fleet();
@@ -349,8 +358,8 @@
             default:
                 cancel_any_job();
                 if (cluster->has_unanswered_launch(now))
-                    cluster->lead(++fencing_token, now);  // the token is refreshed
-                if (pick(12) == 0) successor();
+                    cluster->lead(++fencing_token, now);  // refreshes the fencing token
+                if (pick(12) == 0) fail_over();
         }
     }
 };
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -23,56 +23,57 @@
     EXPECT_EQ(s.ranges().size(), 1u);
 }
 
-// A value may be 32 KiB: the worst pattern of the largest job must fit.
-TEST(IndexSet, LargestJobFitsAValueWhateverThePattern) {
+// The state service accepts values of up to 32 KiB, so the set with the longest encoding must fit.
+TEST(IndexSet, EncodedSetOfTheLargestJobFitsAValueForAnyPattern) {
     IndexSet s;
     for (std::uint32_t i = 0; i < 100'000; i += 2) s.insert(i);
     auto j = s.json(100'000);
     EXPECT_LT(j.dump().size(), 20'000u);
-    auto back = IndexSet::parse(j, 100'000);
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->ranges(), s.ranges());
+    auto parsed = IndexSet::parse(j, 100'000);
+    ASSERT_TRUE(parsed);
+    EXPECT_EQ(parsed->ranges(), s.ranges());
     EXPECT_LT(IndexSet::full(100'000).json(100'000).dump().size(), 20u);
 }
 
-TEST(IndexSet, RefusesWhatDoesNotBelongToTheJob) {
+TEST(IndexSet, ParseRefusesMalformedRangesAndIndicesOutsideTheJob) {
     EXPECT_FALSE(IndexSet::parse(wire::Json::array({5u, 10u}), 12));
     EXPECT_FALSE(IndexSet::parse(wire::Json::array({5u}), 12));
     EXPECT_FALSE(IndexSet::parse("___", 12));
     EXPECT_TRUE(IndexSet::parse(wire::Json::array({5u, 7u}), 12));
 }
 
-TEST(Records, SurviveARoundTrip) {
-    MachineRecord m{"n-7", "10.0.0.1:9", "g8", "a", true, 77, {{{"wk-1", 3}, (5ULL << 40) + 1}}};
-    auto back = parse_machine_record(*wire::decode(wire::encode(to_json(m))));
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->attempts, m.attempts);
-    EXPECT_EQ(back->provisioned_ms, 77);
+TEST(Records, RoundTripThroughJsonAndMalformedOnesAreRefused) {
+    MachineRecord machine{"n-7", "10.0.0.1:9", "g8", "a", true, 77, {{{"wk-1", 3}, (5ULL << 40) + 1}}};
+    auto parsed = parse_machine_record(*wire::decode(wire::encode(to_json(machine))));
+    ASSERT_TRUE(parsed);
+    EXPECT_EQ(parsed->attempts, machine.attempts);
+    EXPECT_EQ(parsed->provisioned_ms, 77);
     EXPECT_EQ(parse_assignment_shard_key(assignment_shard_key(12)), 12u);
-    EXPECT_FALSE(parse_assignment_shard(wire::Json::array({to_json(m), "n-8"}))) << "whole or not at all";
-    Progress p;
-    p.done.insert_range(2, 5);
-    p.cancelled = true;
-    auto q = parse_progress(to_json(p, 9), 9);
-    ASSERT_TRUE(q);
-    EXPECT_TRUE(q->cancelled);
-    EXPECT_EQ(q->done.size(), 3u);
+    EXPECT_FALSE(parse_assignment_shard(wire::Json::array({to_json(machine), "n-8"})))
+        << "one machine record of the shard is malformed";
+    Progress progress;
+    progress.done.insert_range(2, 5);
+    progress.cancelled = true;
+    auto parsed_progress = parse_progress(to_json(progress, 9), 9);
+    ASSERT_TRUE(parsed_progress);
+    EXPECT_TRUE(parsed_progress->cancelled);
+    EXPECT_EQ(parsed_progress->done.size(), 3u);
     EXPECT_FALSE(parse_finished_record(wire::Json{{"state", "nonsense"}}));
 }
 
-TEST(Queue, OneFirstComeQueuePerLevelAndABound) {
-    queue::JobQueue q(10);
-    q.set_waiting(wire::Priority::normal, {20, "wk-2"}, 0, 4);
-    q.set_waiting(wire::Priority::normal, {10, "wk-9"}, 0, 3);
-    q.set_waiting(wire::Priority::low, {1, "wk-1"}, 0, 2);
-    EXPECT_EQ(q.level(2).begin()->id, "wk-9");
-    EXPECT_EQ(q.level(3).begin()->id, "wk-1");
-    EXPECT_TRUE(q.admits(1));
-    EXPECT_FALSE(q.admits(2));
-    // A job keeps its place while any of its tasks waits.
-    q.set_waiting(wire::Priority::normal, {10, "wk-9"}, 3, 1);
-    EXPECT_EQ(q.level(2).begin()->id, "wk-9");
-    q.set_waiting(wire::Priority::normal, {10, "wk-9"}, 1, 0);
-    EXPECT_EQ(q.level(2).begin()->id, "wk-2");
-    EXPECT_EQ(q.waiting(), 6u);
+TEST(JobQueue, OrdersJobsByAcceptanceTimeWithinEachPriorityAndBoundsTheBacklog) {
+    queue::JobQueue job_queue(10);
+    job_queue.set_waiting(wire::Priority::normal, {20, "wk-2"}, 0, 4);
+    job_queue.set_waiting(wire::Priority::normal, {10, "wk-9"}, 0, 3);
+    job_queue.set_waiting(wire::Priority::low, {1, "wk-1"}, 0, 2);
+    EXPECT_EQ(job_queue.level(2).begin()->id, "wk-9");
+    EXPECT_EQ(job_queue.level(3).begin()->id, "wk-1");
+    EXPECT_TRUE(job_queue.admits(1));
+    EXPECT_FALSE(job_queue.admits(2));
+    // A job keeps its position while any of its tasks waits.
+    job_queue.set_waiting(wire::Priority::normal, {10, "wk-9"}, 3, 1);
+    EXPECT_EQ(job_queue.level(2).begin()->id, "wk-9");
+    job_queue.set_waiting(wire::Priority::normal, {10, "wk-9"}, 1, 0);
+    EXPECT_EQ(job_queue.level(2).begin()->id, "wk-2");
+    EXPECT_EQ(job_queue.waiting(), 6u);
 }
