--- a/src/api/command_dispatcher.cpp
+++ b/src/api/command_dispatcher.cpp
@@ -50,7 +50,7 @@
 
 void CommandDispatcher::fence_all(std::deque<std::string> machines, int at_once) {
     auto shared = std::make_shared<std::deque<std::string>>(std::move(machines));
-    for (int i = 0; i < at_once; ++i) host_.spawn("fencing of known workers", fence_known_workers(shared));
+    for (int i = 0; i < at_once; ++i) host_.spawn("fences", fence_known_workers(shared));
 }
 
 Task<> CommandDispatcher::fence_known_workers(std::shared_ptr<std::deque<std::string>> machines) {
