--- a/src/fleet/assignment_shards.cpp
+++ b/src/fleet/assignment_shards.cpp
@@ -5,37 +5,38 @@
 namespace barrowrun::fleet {
 
 namespace {
-// A shard is written whole for each start on it: it is filled to a third, and has room for what its machines
-// come to hold.
-constexpr std::size_t filled_part = 3;
-// What a machine with one task takes about, until its shard has been measured.
-constexpr std::size_t usual_record = 110;
+// Every start rewrites the whole record of its shard. New machines are added only up to a third of the
+// maximum size, which leaves room for the attempts that the machines receive later.
+constexpr std::size_t fill_divisor = 3;
+// Estimated size of a machine with one task, used until the shard's record has been measured.
+constexpr std::size_t estimated_machine_bytes = 110;
 }  // namespace
 
 AssignmentShards::ShardId AssignmentShards::unused_id() const {
-    ShardId n = 0;
-    while (shards_.contains(n)) ++n;
-    return n;
+    ShardId id = 0;
+    while (shards_.contains(id)) ++id;
+    return id;
 }
 
 AssignmentShards::Shard& AssignmentShards::shard_of(const std::string& machine) {
     if (auto it = shard_of_machine_.find(machine); it != shard_of_machine_.end())
         return shards_.at(it->second);
-    auto room = std::find_if(shards_.begin(), shards_.end(), [&](auto& s) {
-        return s.second.write_after.empty() && s.second.bytes + usual_record <= value_bytes_ / filled_part;
+    auto with_room = std::find_if(shards_.begin(), shards_.end(), [&](auto& s) {
+        return s.second.write_after.empty() &&
+               s.second.bytes + estimated_machine_bytes <= value_bytes_ / fill_divisor;
     });
-    ShardId n = room != shards_.end() ? room->first : unused_id();
-    Shard& shard = shards_[n];
+    ShardId id = with_room != shards_.end() ? with_room->first : unused_id();
+    Shard& shard = shards_[id];
     shard.machines.insert(machine);
-    shard.bytes += usual_record;
-    shard_of_machine_[machine] = n;
+    shard.bytes += estimated_machine_bytes;
+    shard_of_machine_[machine] = id;
     return shard;
 }
 
-void AssignmentShards::add_start(const std::string& machine, Urgency rank) {
+void AssignmentShards::add_start(const std::string& machine, Urgency urgency) {
     auto& shard = shard_of(machine);
     shard.changed = true;
-    shard.urgency = std::min(shard.urgency.value_or(rank), rank);
+    shard.urgency = std::min(shard.urgency.value_or(urgency), urgency);
 }
 
 void AssignmentShards::mark_changed(const std::string& machine) {
@@ -53,10 +54,10 @@
 
 void AssignmentShards::recover(ShardId id, const std::string& machine) {
     auto& shard = shards_[id];
-    auto [it, first] = shard_of_machine_.try_emplace(machine, id);
-    if (first) {
+    auto [it, inserted] = shard_of_machine_.try_emplace(machine, id);
+    if (inserted) {
         shard.machines.insert(machine);
-        shard.bytes += usual_record;
+        shard.bytes += estimated_machine_bytes;
     } else if (it->second != id) {
         shards_.at(it->second).changed = shard.changed = true;
         shard.write_after.insert(it->second);
@@ -76,14 +77,15 @@
 }
 
 std::vector<AssignmentShards::ShardId> AssignmentShards::due(bool all) const {
-    std::vector<ShardId> out;
-    for (auto& [n, s] : shards_)
-        if (is_due(n, s, all)) out.push_back(n);
-    auto rank = [this](ShardId n) {
-        return shards_.at(n).urgency.value_or(Urgency{wire::Priority::low, TimePoint::max()});
+    std::vector<ShardId> due_ids;
+    for (auto& [id, shard] : shards_)
+        if (is_due(id, shard, all)) due_ids.push_back(id);
+    auto urgency_of = [this](ShardId id) {
+        return shards_.at(id).urgency.value_or(Urgency{wire::Priority::low, TimePoint::max()});
     };
-    std::stable_sort(out.begin(), out.end(), [&](auto x, auto y) { return rank(x) < rank(y); });
-    return out;
+    std::stable_sort(due_ids.begin(), due_ids.end(),
+                     [&](auto x, auto y) { return urgency_of(x) < urgency_of(y); });
+    return due_ids;
 }
 
 const std::set<std::string>& AssignmentShards::machines(ShardId shard) const {
@@ -94,16 +96,16 @@
     Shard& shard = shards_.at(id);
     shard.bytes = bytes;
     if (bytes <= value_bytes_ || shard.machines.size() < 2) return true;
-    ShardId other = unused_id();
-    Shard& next = shards_[other];
-    auto from = std::next(shard.machines.begin(), static_cast<long>(shard.machines.size() / 2));
-    next.machines.insert(from, shard.machines.end());
-    shard.machines.erase(from, shard.machines.end());
-    for (auto& m : next.machines) shard_of_machine_[m] = other;
-    shard.bytes = next.bytes = bytes / 2;
-    next.changed = true;
-    next.urgency = shard.urgency;
-    shard.write_after.insert(other);
+    ShardId new_id = unused_id();
+    Shard& new_shard = shards_[new_id];
+    auto middle = std::next(shard.machines.begin(), static_cast<long>(shard.machines.size() / 2));
+    new_shard.machines.insert(middle, shard.machines.end());
+    shard.machines.erase(middle, shard.machines.end());
+    for (auto& machine : new_shard.machines) shard_of_machine_[machine] = new_id;
+    shard.bytes = new_shard.bytes = bytes / 2;
+    new_shard.changed = true;
+    new_shard.urgency = shard.urgency;
+    shard.write_after.insert(new_id);
     return false;
 }
 
@@ -120,7 +122,7 @@
 void AssignmentShards::on_write_failed(ShardId id) {
     auto& shard = shards_.at(id);
     shard.changed = true;
-    // What waited for it waits still; nothing more is known here than that it is overdue.
+    // Starts still wait for this write, but their urgency was reset when it was sent: assume the highest.
     shard.urgency = Urgency{wire::Priority::production, TimePoint{}};
 }
 
--- a/src/fleet/assignment_shards.hpp
+++ b/src/fleet/assignment_shards.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Which machines stand together on one record. A round's starts on hundreds of machines then cost a few
-// changes of the state service rather than one a machine: the count grows with bytes, not with machines.
-// A sheet's value is absolute: it names all its machines with every attempt that may be on them.
+// Groups machines into shards of one record each, so that the starts of a scheduling round on hundreds of
+// machines cost a few writes: the number of writes grows with the bytes, not with the machines. A shard's
+// record is a complete snapshot: it lists all its machines with every attempt that may be on them.
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -18,34 +18,34 @@
 class AssignmentShards {
   public:
     using ShardId = std::uint32_t;
-    // How pressing a start is: the higher level first, then the older.
+    // Order in which recorded starts are written: by priority, then the oldest first.
     using Urgency = std::pair<wire::Priority, TimePoint>;
 
     explicit AssignmentShards(std::size_t value_bytes) : value_bytes_(value_bytes) {}
 
-    // A start on the machine waits to be recorded.
+    // Marks the machine's shard as due: a start on the machine waits until it is recorded.
     void add_start(const std::string& machine, Urgency urgency);
-    // Something else about it is to be recorded with the next occasion.
+    // Marks the machine's shard as changed without urgency: the change is written with the next full write.
     void mark_changed(const std::string& machine);
     void remove_machine(const std::string& machine);
-    // A record of a predecessor names it; sheets come in rising order. Two may name one, after a crash within
-    // a move: the lower becomes its home and is written, with what either named, before the other.
+    // Restores a machine from a predecessor's record; call in ascending order of shards. After a crash during
+    // a move two shards may list a machine: the lower one keeps it and is written, with both lists, first.
     void recover(ShardId shard, const std::string& machine);
 
-    // A record that cannot be read: it is neither used nor overwritten, so that a successor sees it too.
+    // Marks a shard whose record cannot be read as full: it is never overwritten, so a successor sees it too.
     void quarantine(ShardId shard) { shards_[shard].bytes = value_bytes_; }
 
-    // AssignmentShards to write, the most pressing first; with `all` also those that no start waits for.
+    // Shards to write, the most urgent first. `all` includes changed shards that no start waits for.
     std::vector<ShardId> due(bool all) const;
     bool any_due(bool all) const;
     std::size_t changed_count() const { return due(true).size(); }
     const std::set<std::string>& machines(ShardId shard) const;
-    // The value was measured. False: it is too large. Then half of its machines stand on a new sheet, and
-    // this one is not due before that is on record: else a crash between the two would lose them.
+    // Stores the measured size of the record. Returns false if it is too large: half of the machines move to
+    // a new shard, which is written before this one, because a crash between the writes would else lose them.
     bool record_size(ShardId shard, std::size_t bytes);
-    void on_write_sent(ShardId shard);     // its value is on its way
-    void on_write_durable(ShardId shard);  // and on record
-    void on_write_failed(ShardId shard);   // or not
+    void on_write_sent(ShardId shard);     // the write was sent to the state service
+    void on_write_durable(ShardId shard);  // the state service has stored the write
+    void on_write_failed(ShardId shard);   // the write failed; the shard becomes due again
 
   private:
     struct Shard {
@@ -53,7 +53,7 @@
         std::size_t bytes = 0;
         std::optional<Urgency> urgency;
         bool changed = false;
-        std::set<ShardId> write_after;  // not written before these are on record
+        std::set<ShardId> write_after;  // shards that must be durable before this one is written
     };
     Shard& shard_of(const std::string& machine);
     ShardId unused_id() const;
--- a/src/fleet/cloud_client.cpp
+++ b/src/fleet/cloud_client.cpp
@@ -10,11 +10,11 @@
 }
 
 Task<net::Reply> CloudClient::call(verb method, std::string target, std::optional<wire::Json> body,
-                                   Clock::duration deadline, bool charged) {
-    if (!charged) co_await wait_for_rate_budget();
+                                   Clock::duration deadline, bool budget_reserved) {
+    if (!budget_reserved) co_await wait_for_rate_budget();
     auto reply =
         co_await client_.call(address_, method, std::move(target), std::move(body), deadline, 4 << 20);
-    // "no capacity" is an answer, though it comes as a 503.
+    // A 503 with "no capacity" is an answer of a working cloud; a 503 with "trouble" is not.
     bool answered =
         reply.status != 0 && (reply.status != 503 || wire::text(reply.body, "error") != "trouble");
     if (auto line = reach_.note(answered, Clock::now())) spdlog::warn("{}", *line);
--- a/src/fleet/cloud_client.hpp
+++ b/src/fleet/cloud_client.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The cloud by its protocol, within its rate.
+// Client of the cloud's HTTP API that keeps within the cloud's request rate limit.
 #include "net/http_client.hpp"
 #include "net/reach.hpp"
 #include "wire/messages.hpp"
@@ -21,18 +21,19 @@
         : address_(std::move(address)), client_(io, 6), budget_(rps * 0.85, rps) {}
     Task<std::optional<std::vector<wire::MachineType>>> types();
     Task<std::optional<wire::MachineList>> list();
-    // Whether it takes connections, for the log alone: no request is made. Only leaders ask it anything.
+    // Logs whether the cloud accepts connections. Sends no request, because only the leader sends requests.
     Task<> check_reachability();
-    // Waits until the cloud's rate lets the next rental through.
+    // Waits until the rate limit allows the next provisioning request.
     Task<> wait_for_rate_budget();
     Task<ProvisioningResult> provision(std::string request, std::string type, std::string zone, bool spot,
                                        int n);
-    // True once the cloud says that the machines and everything on them are gone.
+    // Returns true if the cloud confirms that the machines and everything on them are gone.
     Task<bool> return_machines(std::vector<std::string> names);
 
   private:
+    // `budget_reserved`: the caller has already waited for the rate budget.
     Task<net::Reply> call(net::http::verb method, std::string target, std::optional<wire::Json> body,
-                          Clock::duration deadline, bool charged = false);
+                          Clock::duration deadline, bool budget_reserved = false);
     std::string address_;
     net::HttpClient client_;
     net::RateBudget budget_;
--- a/src/fleet/machine.cpp
+++ b/src/fleet/machine.cpp
@@ -8,10 +8,10 @@
 using wire::TaskState;
 
 wire::Resources Machine::available() const {
-    wire::Resources r = capacity;
-    for (auto& [a, e] : assignments)
-        if (!e.exited()) r -= e.need;
-    return r;
+    wire::Resources remaining = capacity;
+    for (auto& [attempt, assignment] : assignments)
+        if (!assignment.exited()) remaining -= assignment.need;
+    return remaining;
 }
 
 std::size_t Machine::live() const {
@@ -45,8 +45,8 @@
 }
 
 void Machine::clear(std::vector<AssignmentChange>& changes) {
-    for (auto& [a, e] : assignments)
-        if (!e.exited()) changes.push_back({AssignmentChange::lost, a, e});
+    for (auto& [attempt, assignment] : assignments)
+        if (!assignment.exited()) changes.push_back({AssignmentChange::lost, attempt, assignment});
     assignments.clear();
     images.clear();
     fetching_.clear();
@@ -61,15 +61,15 @@
 }
 
 namespace {
-// Whether no push of the launch can be executed any more: a push without an answer may be, as long as its
-// token is the highest that the worker knows.
+// Whether no push of the launch can be executed any more. A push without an answer may still be executed as
+// long as the worker has seen no token higher than that of the push.
 bool launch_settled(const Assignment& assignment, std::uint64_t worker_token) {
     return !assignment.in_flight &&
            (!assignment.launch_unanswered || worker_token > assignment.sent_fencing_token);
 }
 
-// Whether the heartbeat, which doesn't list the attempt, proves that it is not on the machine and won't
-// start.
+// Whether a heartbeat that doesn't list the attempt proves that the attempt is not on the machine and won't
+// start there.
 bool proven_gone(const Assignment& assignment, const wire::WorkerHeartbeat& heartbeat,
                  bool from_heartbeat_route, std::uint64_t own_fencing_token) {
     switch (assignment.phase) {
@@ -79,22 +79,22 @@
         case AssignmentPhase::pushed:
             return launch_settled(assignment, heartbeat.fencing_token);
         case AssignmentPhase::replied:
-            // The worker has one heartbeat in flight at a time: its next one shows what became of the
-            // response to the last.
+            // The worker has one heartbeat in flight at a time: the next one shows whether the response to
+            // the previous one was received or dropped.
             return from_heartbeat_route && heartbeat.seq > assignment.reply_seq &&
                    launch_settled(assignment, heartbeat.fencing_token);
         case AssignmentPhase::recovered:
-            // Whatever the predecessor sent dies with its token, once the worker has seen ours.
+            // Launches of the previous leader are void once the worker has seen this leader's fencing token.
             return heartbeat.fencing_token >= own_fencing_token;
         case AssignmentPhase::confirmed:
-            // Listed before, gone now: reaped, or ended with its agent epoch. A push that may still be on its
-            // way could start it again.
+            // Listed before and missing now: the attempt was reaped or ended with its agent epoch. A delayed
+            // push could still start it again.
             return launch_settled(assignment, heartbeat.fencing_token);
     }
     return false;
 }
 
-// Takes over what the worker says of an attempt.
+// Updates an assignment from the status that the worker reports.
 void update(Assignment& assignment, bool is_new, const wire::TaskStatus& status, TimePoint now,
             std::vector<AssignmentChange>& changes) {
     if (is_new) assignment.placed_at = now;
@@ -119,7 +119,7 @@
 
 using Assignments = std::unordered_map<Attempt, Assignment, wire::AttemptHash>;
 
-// Takes out the assignments for which `is_gone` holds. Those that had not exited are lost.
+// Removes the assignments for which `is_gone` holds; those that had not exited are reported as lost.
 template <class Predicate>
 void remove_if(Assignments& assignments, std::vector<AssignmentChange>& changes, Predicate is_gone) {
     std::vector<Attempt> gone;
@@ -131,7 +131,7 @@
     }
 }
 
-// Whether something of it may be on the machine, or start there.
+// Whether the attempt may be on the machine or may still start there.
 bool may_have_been_sent(const Assignment& assignment) {
     return assignment.phase != AssignmentPhase::recording && assignment.phase != AssignmentPhase::ready;
 }
@@ -139,7 +139,7 @@
 bool kill_is_due(const Assignment& assignment, TimePoint now) {
     if (!assignment.stop_requested || assignment.exited() || now < assignment.stop_at) return false;
     if (!may_have_been_sent(assignment) && !assignment.launch_unanswered) return false;
-    // What is saving its progress ends by itself, within its grace.
+    // A task that is saving its checkpoint exits within its grace period, without another kill.
     const bool saving =
         assignment.phase == AssignmentPhase::confirmed && assignment.state == TaskState::saving;
     return !saving || assignment.grace_s <= 0;
@@ -152,8 +152,8 @@
             !assignment.in_flight);
 }
 
-// Kills free the capacity that launches need.
-int order_of(wire::Verb verb) {
+// Kills come first, because they free the capacity that launches need.
+int execution_order(wire::Verb verb) {
     return verb == wire::Verb::kill ? 0 : verb == wire::Verb::reap ? 1 : 2;
 }
 }  // namespace
@@ -163,9 +163,9 @@
                               std::vector<AssignmentChange>& changes) {
     if (up && std::pair(heartbeat.agent_epoch, heartbeat.seq) <= std::pair(agent_epoch, seq)) return false;
     if (up && heartbeat.agent_epoch > agent_epoch) {
-        // A higher agent epoch proves that all of the earlier one is gone, launches under way included: they
-        // name the old agent epoch. Until our first heartbeat from it we know no agent epoch, so assignments
-        // stay to be judged below.
+        // A higher agent epoch proves that all attempts of the earlier one are gone, and voids launches in
+        // flight, which name the earlier epoch. Before this leader's first heartbeat from the machine no
+        // epoch is known: its assignments are checked one by one below.
         remove_if(assignments, changes,
                   [](auto&, auto& assignment) { return may_have_been_sent(assignment); });
         images.clear();
@@ -207,7 +207,7 @@
         if (kill_is_due(assignment, now)) {
             out.push_back({wire::Verb::kill, attempt, assignment.grace_s});
         } else if (assignment.exited()) {
-            // A late launch would start a reaped attempt again, so wait until none can be on its way.
+            // A delayed launch would start a reaped attempt again: reap only when no launch can be in flight.
             if (launch_settled(assignment, fencing_token_seen) && may_reap(attempt, assignment))
                 out.push_back({wire::Verb::reap, attempt, 0});
         } else if (launches && launch_is_due(assignment)) {
@@ -215,7 +215,7 @@
         }
     }
     std::stable_sort(out.begin(), out.end(),
-                     [](auto& x, auto& y) { return order_of(x.verb) < order_of(y.verb); });
+                     [](auto& x, auto& y) { return execution_order(x.verb) < execution_order(y.verb); });
     return out;
 }
 
--- a/src/fleet/machine.hpp
+++ b/src/fleet/machine.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What may be on a machine, and what proves that it is not.
+// State of one machine: attempts that may be on it, and the evidence that an attempt is gone.
 #include <list>
 #include <memory>
 #include <optional>
@@ -13,21 +13,21 @@
 
 namespace barrowrun::fleet {
 
-// How far the start of an attempt has come.
+// Progress of the start of an attempt.
 enum class AssignmentPhase {
-    recording,  // its record is being written; nothing was sent
-    ready,      // recorded, to be sent
-    pushed,     // sent to /commands, no answer yet, or none at all (unsettled)
-    replied,    // sent in the response to a heartbeat
-    recovered,  // a predecessor recorded it; it may be there, may still start, or be gone
+    recording,  // its record is being written; no launch was sent
+    ready,      // recorded; its launch can be sent
+    pushed,     // launch sent to /commands; the answer is pending or was lost
+    replied,    // launch sent in the response to a heartbeat
+    recovered,  // recorded by a previous leader; it may run, may still start, or be gone
     confirmed,  // the worker has reported it
 };
 
 struct Assignment {
     AssignmentPhase phase = AssignmentPhase::recording;
-    std::uint64_t sent_fencing_token = 0;  // highest token under which a launch may still be on its way
-    bool in_flight = false;          // a push that carries the launch has not been answered or given up yet
-    bool launch_unanswered = false;  // such a push got no answer: it may execute any time later
+    std::uint64_t sent_fencing_token = 0;  // highest token of a launch that may still be delivered
+    bool in_flight = false;                // a push with the launch is neither answered nor timed out
+    bool launch_unanswered = false;  // a push got no answer; the worker may execute it at any later time
     std::uint64_t reply_seq = 0;
     wire::TaskState state = wire::TaskState::fetching;
     wire::Cause cause = wire::Cause::none;
@@ -35,24 +35,24 @@
     bool stop_requested = false;
     double grace_s = 0;
     TimePoint stop_at{}, stop_sent{};
-    TimePoint placed_at{};   // when it was placed
-    TimePoint started_at{};  // when it was first seen running
+    TimePoint placed_at{};   // when the scheduler placed it
+    TimePoint started_at{};  // when a heartbeat first showed it running
     TimePoint ended_at{};
     wire::Resources need;
-    std::uint32_t account = ~0u;  // what it is charged to, as long as it is
-    // Of its job, kept here so that a look at a machine needs no look-up of jobs.
+    std::uint32_t account = ~0u;  // node of the quota tree that is charged; ~0u: none
+    // Copied from the job, so that decisions about a machine need no look-up of jobs.
     wire::Priority priority = wire::Priority::low;
-    bool preemptible = false;  // no replica: lower work may be stopped for higher
+    bool preemptible = false;  // not a service replica: may be stopped for tasks of higher priority
     bool service = false;
     bool checkpoints = false;
     bool exited() const { return phase == AssignmentPhase::confirmed && state == wire::TaskState::exited; }
-    // Whether it may be stopped for work of the level.
+    // Whether the attempt may be stopped for a task of priority `higher`.
     bool preemptible_by(wire::Priority higher) const {
         return !exited() && !stop_requested && preemptible && priority > higher;
     }
 };
 
-// Whether a silence is the machine's rather than ours: enough of the others were heard just now.
+// Whether at least 30 % of the other machines were heard recently; if not, the leader itself may be cut off.
 inline bool hears_enough_of_fleet(std::size_t heard_just_now, std::size_t others) {
     return others == 0 ? false : heard_just_now * 10 >= others * 3;
 }
@@ -60,7 +60,7 @@
 struct AssignmentChange {
     enum Kind { confirmed, started, ended, lost } kind;
     wire::Attempt attempt;
-    Assignment assignment;  // as it was last known
+    Assignment assignment;  // last known state
 };
 
 class Machine {
@@ -68,66 +68,66 @@
     std::string name, address, type, zone;
     bool spot = false;
     std::uint64_t agent_epoch = 0, seq = 0, fencing_token_seen = 0;
-    bool up = false;                           // its worker has reported to us
-    std::optional<TimePoint> spot_reclaim_at;  // spot notice: when the cloud takes it, as nominally announced
+    bool up = false;                           // this leader has received a heartbeat from its worker
+    std::optional<TimePoint> spot_reclaim_at;  // spot notice: nominal time of reclaim by the cloud
     TimePoint known_since{}, provisioned_at{}, last_heartbeat{}, last_answer{}, idle_since{}, probed{};
-    TimePoint agent_epoch_known{};  // when we first heard of the agent epoch: it began no later
-    bool returning = false;         // a return request is out, or will be
-    bool draining = false;          // to be emptied and returned
-    bool suspected = false;         // silent, to be proven empty
-    bool push_reachable = true;     // its address answers us
+    TimePoint agent_epoch_known{};  // when the leader first heard of the agent epoch, which began no later
+    bool returning = false;         // a return request to the cloud was or will be sent
+    bool draining = false;          // gets no new tasks; is emptied, then returned
+    bool suspected = false;         // silent; gets no new tasks until it is heard again or proven empty
+    bool push_reachable = true;     // its address answers requests of the leader
     bool pushing = false, probing = false;
-    int missed_probes = 0;          // questions in a row that it did not answer
-    int errors = 0, successes = 0;  // failures in a row
-    int attributed_errors = 0;      // of them, those of jobs that run well elsewhere
+    int missed_probes = 0;          // consecutive probes without an answer
+    int errors = 0, successes = 0;  // errors: consecutive task failures
+    int attributed_errors = 0;      // of these, failures of jobs that run well elsewhere
     TimePoint last_error{};
     std::optional<TimePoint>
-        quarantined_since;  // it fails what it starts: nothing new for it, what runs goes on
+        quarantined_since;  // its tasks fail: it gets no new tasks, running ones continue
     double slowness = 1.0;
     wire::Resources capacity;
-    // In a placing round: room, and what of it is kept for tasks that lower work was stopped for.
+    // During a scheduling round: free capacity, and the part reserved for tasks that preempted others.
     wire::Resources free, reserved;
-    bool capacity_stale = false;  // its place among the rooms is out of date
+    bool capacity_stale = false;  // its entry in the capacity index is out of date
     double cache_gb = 0, fetch_gb_per_s = 0.1;
     std::unordered_map<wire::Attempt, Assignment, wire::AttemptHash> assignments;
-    std::list<std::pair<std::string, double>> images;  // most recently used first, as far as we can tell
+    std::list<std::pair<std::string, double>> images;  // estimated cache, most recently used image first
 
     wire::Resources unreserved() const {
         auto r = free;
         r -= reserved;
         return r;
     }
-    wire::Resources available() const;  // capacity less all that may be there
+    wire::Resources available() const;  // capacity minus the needs of all attempts that may be on the machine
     bool has_image(const std::string& image) const;
     bool fetching(const std::string& image) const { return fetching_.contains(image); }
     void use_image(const std::string& image, double gb);
     void note_fetch(const std::string& image, double gb) { fetching_[image] = gb; }
     bool holds_task(const wire::TaskId& task) const;
-    std::size_t live() const;  // attempts that may be there, exited ones aside
+    std::size_t live() const;  // number of attempts that may be on the machine and haven't exited
     bool has_live() const;
 
-    // Applies a heartbeat. `reply` tells a heartbeat to /hello from an answer of /commands: only the former
-    // proves that an earlier response was received or dropped. Nothing happens for a heartbeat that is not
-    // newer.
+    // Applies a heartbeat; one that is not newer than the last is ignored and returns false.
+    // `from_heartbeat_route`: it was sent to /hello rather than in an answer of /commands; only the former
+    // proves that the response to the previous heartbeat was received or dropped.
     bool apply_heartbeat(const wire::WorkerHeartbeat& heartbeat, bool from_heartbeat_route,
                          std::uint64_t own_fencing_token, TimePoint now,
                          std::vector<AssignmentChange>& changes);
-    // The machine is proven empty: gone, or its lease has run out.
+    // Drops all assignments, because the machine is proven empty: it is gone or its lease has expired.
     void clear(std::vector<AssignmentChange>& changes);
-    // When its lease has certainly run out if we don't answer it again; `acquired`: until when others may
-    // have answered it. A new agent epoch has a lease of its own from its beginning, without any answer of
-    // ours. We may hear of it, and start tasks in it, by an answer of /commands or /inspect alone: counted
-    // from the last answered heartbeat those tasks were taken for gone at once, and ran twice
+    // When the machine's lease has certainly expired, unless this leader answers another heartbeat.
+    // `acquired`: until when previous leaders may have answered. An agent epoch starts with its own lease.
+    // The leader may learn of it, and start tasks in it, by an answer of /commands or /inspect alone: counted
+    // from the last answered heartbeat, the lease seemed expired at once, and those tasks ran twice
     // (docs/incidents/session-known-by-push.md).
     TimePoint lease_expiry(double lease_s, TimePoint acquired) const {
         return std::max({last_answer, acquired, known_since, agent_epoch_known}) + longer(secs(lease_s));
     }
-    // Whether its lease may be renewed. Not for ever while the launch of a task that has to be gone may still
-    // be carried out, late, under a token that the worker takes: only the end of its agent epoch is certain
-    // to void that, and has to come in time. `keep`: how long after the stop was decided an answer still
-    // does.
+    // Whether an answer to a heartbeat may renew the machine's lease. Renewals end `keep` after the stop of
+    // an attempt was due if an unanswered launch of that attempt may still be executed, under a fencing token
+    // that the worker accepts: only the end of the agent epoch voids such a launch for certain, so the lease
+    // has to expire.
     bool may_renew(TimePoint now, Clock::duration keep) const;
-    // What to tell the worker now. `launches` says whether launches may go with it.
+    // Returns the commands for the worker; launches are included only if `launches` is set.
     std::vector<wire::Command> commands(
         TimePoint now, bool launches,
         const std::function<bool(const wire::Attempt&, const Assignment&)>& may_reap) const;
