--- a/tests/history.hpp
+++ b/tests/history.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What drawn histories of the leader's decisions share: workers as the protocol has them, and a quiet log.
+// Fixtures for randomized histories of the leader's decisions: simulated workers and a silenced log.
 #include <spdlog/spdlog.h>
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace barrowrun::testing {
 
-// The log of ten thousand histories is of no use.
+// Suppresses log lines below critical while it exists: ten thousand histories would flood the log.
 class QuietLog {
   public:
     QuietLog() { spdlog::set_level(spdlog::level::critical); }
@@ -23,12 +23,12 @@
     spdlog::level::level_enum before_ = spdlog::get_level();
 };
 
-// A worker that runs tasks of a history: what is really on its machine, and the highest fencing token it saw.
+// Simulates a worker agent: the attempts that are really on its machine and the highest fencing token it saw.
 struct SimulatedWorker {
     std::uint64_t agent_epoch = 1, seq = 0, fencing_token = 0;
     std::map<Attempt, std::pair<TaskState, Cause>> tasks;
 
-    // The next heartbeat, as sent by the machine of that name.
+    // Returns the next heartbeat, sent under the given machine name.
     WorkerHeartbeat next_heartbeat(const std::string& name, const std::string& zone) {
         WorkerHeartbeat heartbeat;
         heartbeat.machine = name;
@@ -43,12 +43,12 @@
         return heartbeat;
     }
 
-    // Carries commands out, unless their fencing token is older than one seen before: then false.
-    // `launch(attempt)` puts an attempt that isn't listed yet among `tasks`.
+    // Executes commands; returns false and executes none if a newer fencing token was seen before.
+    // `launch(attempt)` adds an attempt that isn't listed yet to `tasks`.
     template <class Launch>
-    bool execute(std::uint64_t under, const std::vector<Command>& commands, Launch launch) {
-        if (under < fencing_token) return false;
-        fencing_token = under;
+    bool execute(std::uint64_t command_token, const std::vector<Command>& commands, Launch launch) {
+        if (command_token < fencing_token) return false;
+        fencing_token = command_token;
         for (auto& command : commands) {
             auto known = tasks.find(command.attempt);
             if (known == tasks.end()) {
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A fake clock and a small fleet for the decision tests.
+// Test fixtures for the scheduler's decisions: a fake clock, a small fleet and stored records.
 #include <gtest/gtest.h>
 
 #include "autoscaler/autoscaler.hpp"
@@ -19,14 +19,14 @@
 using wire::Verb;
 using wire::WorkerHeartbeat;
 
-// Rules of a fleet whose workers are always answered: no lease runs out.
+// Configuration with leases so long (1e6 s) that none expires during a test.
 inline placement::Config without_leases() {
     placement::Config rules;
     rules.lease_s = 1e6;
     return rules;
 }
 
-// What a state service holds of a cluster: written, and read by a successor.
+// The records that the state service holds for a cluster; the next leader can be restored from them.
 struct Records {
     std::map<std::string, wire::Json> values;
     void apply(const std::vector<placement::Write>& writes) {
@@ -87,7 +87,7 @@
         return s;
     }
     Job& add(const wire::JobSpec& s) { return cluster->add_job({s, wall++}, nullptr, now, wall); }
-    // A report of the machine; everything the cluster holds as sent is left as given.
+    // Builds the machine's next heartbeat, which lists only the given tasks, whatever the cluster launched.
     WorkerHeartbeat heartbeat(const std::string& name, std::vector<TaskStatus> tasks = {},
                               std::uint64_t fencing_token = 10, const std::string& zone = "a",
                               const std::string& type = "small", bool spot = false) {
@@ -109,7 +109,7 @@
         return *cluster->find_machine(name);
     }
     Machine& machine(const std::string& name) { return *cluster->find_machine(name); }
-    // What a sheet of starts names, by machine.
+    // Returns the attempts that the written assignment shards list, by machine.
     static std::map<std::string, std::vector<Attempt>> recorded(const std::vector<placement::Write>& writes) {
         std::map<std::string, std::vector<Attempt>> out;
         for (auto& w : writes) {
@@ -119,7 +119,7 @@
         }
         return out;
     }
-    // Lets everything that waits be written.
+    // Takes all pending writes, reports them as durable and returns them.
     std::vector<placement::Write> write() {
         auto all = cluster->take_writes(1000, 1 << 20, now, wall);
         for (auto& w : all)
@@ -131,7 +131,7 @@
         for (auto& [a, e] : machine(name).assignments) out.push_back(a);
         return out;
     }
-    // Pushes what is to be sent, and answers with a report that shows the launches running.
+    // Pushes the machine's commands and answers with a heartbeat that shows all its attempts running.
     std::vector<Command> run(const std::string& name) {
         auto commands = cluster->push_commands(machine(name), now);
         std::vector<TaskStatus> tasks;
