--- a/tests/golden_peers_test.cpp
+++ b/tests/golden_peers_test.cpp
@@ -87,6 +87,7 @@
                                          "journal",
                                          "keys",
                                          "leases",
+                                         "outer_names.txt",  // tools/outer-names compares this file
                                          "past",
                                          "progress",
                                          "quota_versions",
