--- a/cmake/tools.cmake
+++ b/cmake/tools.cmake
@@ -1,4 +1,4 @@
-# What people use beside the controller: client, worker, loopback site. deploy/service.toml builds none of it.
+# Programs other than the controller: client, worker agent and loopback site. deploy/service.toml builds none of them.
 find_package(PkgConfig REQUIRED)
 find_package(SQLite3 REQUIRED)
 pkg_check_modules(XXHASH REQUIRED IMPORTED_TARGET libxxhash)
@@ -36,7 +36,7 @@
   src/lab/site.cpp)
 target_link_libraries(barrowrun_lab_parts PUBLIC barrowrun_worker_parts barrowrun_store PRIVATE barrowrun_flags)
 
-# Decisions and readers: no I/O but for files that rules name.
+# Workflow decisions and the Makefile reader. The only I/O is on files that rules name.
 add_library(barrowrun_workflow STATIC
   src/workflow/graph.cpp
   src/workflow/flow.cpp
@@ -49,7 +49,7 @@
   src/workflow/make/makefile.cpp)
 target_link_libraries(barrowrun_workflow PUBLIC barrowrun_depot Threads::Threads PRIVATE barrowrun_flags)
 
-# The Snakefile reader has an interpreter in it, so it is a library of its own.
+# The Snakefile reader embeds a Python interpreter, so it is a separate library.
 find_package(Python3 REQUIRED COMPONENTS Development.Embed)
 find_package(yaml-cpp REQUIRED)
 barrowrun_embed(src/workflow/snakemake/prelude.py workflow::snakemake prelude workflow/snakemake)
@@ -80,7 +80,7 @@
   target_compile_definitions(barrowrun-${program} PRIVATE BARROWRUN_VERSION="${PROJECT_VERSION}")
 endforeach()
 
-option(BARROWRUN_BENCH "build the measurements" OFF)
+option(BARROWRUN_BENCH "build the benchmarks" OFF)
 if(BARROWRUN_BENCH)
   find_package(benchmark REQUIRED)
   add_executable(workflow_bench bench/workflow_bench.cpp)
