--- a/src/lab/child.cpp
+++ b/src/lab/child.cpp
@@ -10,17 +10,17 @@
 
 namespace barrowrun::lab {
 
-Child::Child(net::asio::io_context& io, const What& what) : pidfd_(io) {
-    proc::Spawn s;
-    s.argv = what.argv;
-    s.env = what.env;
-    s.own_group = what.own_group;
-    if (!what.log.empty()) {
-        s.output = ::open(what.log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-        if (s.output < 0) throw std::system_error(errno, std::generic_category(), what.log);
+Child::Child(net::asio::io_context& io, const Command& command) : pidfd_(io) {
+    proc::Spawn spawn;
+    spawn.argv = command.argv;
+    spawn.env = command.env;
+    spawn.own_group = command.own_group;
+    if (!command.log.empty()) {
+        spawn.output = ::open(command.log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
+        if (spawn.output < 0) throw std::system_error(errno, std::generic_category(), command.log);
     }
-    pid_ = proc::spawn(s);
-    if (s.output >= 0) ::close(s.output);
+    pid_ = proc::spawn(spawn);
+    if (spawn.output >= 0) ::close(spawn.output);
     try {
         pidfd_.assign(proc::watch(pid_));
     } catch (...) {
@@ -49,25 +49,25 @@
 }
 
 std::string free_address() {
-    // Each process chooses on a loopback address of its own, by its number. On one that is shared, what
-    // looked for ports for another site's workers took, or held while it tried, what a controller had been
-    // promised and did not listen at yet, and the site did not come up.
+    // Each process searches on its own loopback address, derived from its process ID. On a shared address,
+    // the search for another site's worker ports can take or briefly bind a port that is reserved for a
+    // controller that does not listen yet, and the site then fails to start.
     const auto pid = static_cast<unsigned>(::getpid());
     const net::asio::ip::address_v4 own(0x7f400000u | (pid & 0x3fffffu));  // 127.64.0.0 to 127.127.255.255
-    // Below the ports that outgoing connections are given.
+    // The range lies below the ephemeral ports of outgoing connections.
     constexpr unsigned first = 10'000, last = 32'000;
     static unsigned next = first;
     net::asio::io_context io;
-    for (unsigned tries = first; tries < last; ++tries) {
+    for (unsigned attempts = first; attempts < last; ++attempts) {
         next = next + 1 < last ? next + 1 : first;
-        net::asio::ip::tcp::endpoint at(own, static_cast<unsigned short>(next));
-        net::asio::ip::tcp::acceptor a(io);
-        boost::system::error_code ec;
-        a.open(at.protocol(), ec);
-        a.bind(at, ec);
-        if (!ec) return own.to_string() + ":" + std::to_string(next);
+        net::asio::ip::tcp::endpoint endpoint(own, static_cast<unsigned short>(next));
+        net::asio::ip::tcp::acceptor acceptor(io);
+        boost::system::error_code error;
+        acceptor.open(endpoint.protocol(), error);
+        acceptor.bind(endpoint, error);
+        if (!error) return own.to_string() + ":" + std::to_string(next);
     }
-    throw std::runtime_error("no port is free below 32000");
+    throw std::runtime_error("no free port from 10000 to 31999 on the loopback address of this process");
 }
 
 }  // namespace barrowrun::lab
--- a/src/lab/child.hpp
+++ b/src/lab/child.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A long-lived child process: its output goes to a file, and it ends with its parent.
+// A long-lived child process whose output goes to a file and that is killed when its parent ends.
 #include "net/duties.hpp"
 #include "proc/spawn.hpp"
 
@@ -9,20 +9,20 @@
 
 class Child {
   public:
-    struct What {
+    struct Command {
         std::vector<std::string> argv;
-        std::string log;  // appended to; empty: it shares our terminal
+        std::string log;  // file that the output is appended to; empty: the child shares the terminal
         std::map<std::string, std::string> env;
         bool own_group = true;
     };
-    // Throws std::system_error.
-    Child(net::asio::io_context& io, const What& what);
-    ~Child();  // kills it
+    // Starts the process. Throws std::system_error if that fails.
+    Child(net::asio::io_context& io, const Command& command);
+    ~Child();  // kills the process if it is still running
     Child(const Child&) = delete;
     Child& operator=(const Child&) = delete;
     bool alive() const { return !reaped_; }
     void signal(int number) const;
-    Task<int> wait();  // exit status, or 128 + the signal
+    Task<int> wait();  // returns the exit status, or 128 plus the signal number
 
   private:
     pid_t pid_ = -1;
@@ -30,7 +30,7 @@
     net::asio::posix::stream_descriptor pidfd_;
 };
 
-// A loopback address whose port was free just now.
+// Returns a loopback address with a port that was free at the time of the call.
 std::string free_address();
 
 }  // namespace barrowrun::lab
--- a/src/lab/cloud_model.cpp
+++ b/src/lab/cloud_model.cpp
@@ -7,14 +7,14 @@
 using wire::Json;
 
 bool CloudModel::within_rate(TimePoint now) {
-    const double most = 2 * limits_.rps;  // bursts worth two seconds
-    if (level_ < 0)
-        level_ = most;
+    const double max_tokens = 2 * limits_.rps;  // bursts of up to two seconds of the rate are allowed
+    if (tokens_ < 0)
+        tokens_ = max_tokens;
     else
-        level_ = std::min(most, level_ + Seconds(now - level_at_).count() * limits_.rps);
-    level_at_ = now;
-    if (level_ < 1) return false;
-    level_ -= 1;
+        tokens_ = std::min(max_tokens, tokens_ + Seconds(now - tokens_updated_at_).count() * limits_.rps);
+    tokens_updated_at_ = now;
+    if (tokens_ < 1) return false;
+    tokens_ -= 1;
     return true;
 }
 
@@ -24,42 +24,46 @@
     return nullptr;
 }
 
-bool CloudModel::known(const wire::ProvisioningRequest& r) const {
-    auto* t = type(r.type);
-    return t && std::find(t->zones.begin(), t->zones.end(), r.zone) != t->zones.end();
+bool CloudModel::known(const wire::ProvisioningRequest& request) const {
+    auto* t = type(request.type);
+    return t && std::find(t->zones.begin(), t->zones.end(), request.zone) != t->zones.end();
 }
 
-std::string CloudModel::add(const std::string& type_name, const std::string& zone, bool spot, TimePoint now) {
-    auto digits = std::to_string(++last_);
+std::string CloudModel::add_machine(const std::string& type_name, const std::string& zone, bool spot,
+                                    TimePoint now) {
+    auto digits = std::to_string(++last_machine_number_);
     Machine m;
     m.name = "n-" + std::string(digits.size() < 6 ? 6 - digits.size() : 0, '0') + digits;
     m.type = type_name;
     m.zone = zone;
     m.spot = spot;
     m.rented = now;
-    double usual = type(type_name)->boot_s;
-    m.boots = now + secs(usual * std::uniform_real_distribution<double>(0.6, 1.5)(random_));
+    double typical_boot_s = type(type_name)->boot_s;
+    m.boots = now + secs(typical_boot_s * std::uniform_real_distribution<double>(0.6, 1.5)(random_));
     auto name = m.name;
     machines_[name] = std::move(m);
     return name;
 }
 
-std::optional<std::vector<std::string>> CloudModel::rent(const wire::ProvisioningRequest& r, TimePoint now) {
-    if (auto it = hires_.find(r.request); it != hires_.end()) return it->second;
-    auto n = std::min<std::size_t>(static_cast<std::size_t>(r.count),
-                                   limits_.machines - std::min(limits_.machines, alive().size()));
-    if (n == 0) return std::nullopt;
+std::optional<std::vector<std::string>> CloudModel::rent(const wire::ProvisioningRequest& request,
+                                                         TimePoint now) {
+    if (auto it = rentals_by_request_.find(request.request); it != rentals_by_request_.end())
+        return it->second;
+    auto count = std::min<std::size_t>(static_cast<std::size_t>(request.count),
+                                       limits_.machines - std::min(limits_.machines, alive().size()));
+    if (count == 0) return std::nullopt;
     std::vector<std::string> names;
-    for (std::size_t i = 0; i < n; ++i) names.push_back(add(r.type, r.zone, r.spot, now));
-    hires_[r.request] = names;
+    for (std::size_t i = 0; i < count; ++i)
+        names.push_back(add_machine(request.type, request.zone, request.spot, now));
+    rentals_by_request_[request.request] = names;
     return names;
 }
 
-void CloudModel::warm(std::size_t n, TimePoint now) {
-    n = std::min(n, limits_.machines - std::min(limits_.machines, alive().size()));
-    for (std::size_t i = 0; i < n; ++i) {
+void CloudModel::warm(std::size_t count, TimePoint now) {
+    count = std::min(count, limits_.machines - std::min(limits_.machines, alive().size()));
+    for (std::size_t i = 0; i < count; ++i) {
         auto& t = types_.front();
-        machines_[add(t.name, t.zones[i % t.zones.size()], false, now)].boots = now;
+        machines_[add_machine(t.name, t.zones[i % t.zones.size()], false, now)].boots = now;
     }
 }
 
@@ -99,7 +103,7 @@
 }
 
 wire::MachineList CloudModel::list(const std::string& after, std::size_t page, TimePoint now) {
-    // At times up to twice as late.
+    // The delay varies between one and two times the list lag.
     auto at = now - secs(limits_.list_lag_s * std::uniform_real_distribution<double>(1, 2)(random_));
     wire::MachineList out;
     for (auto it = machines_.upper_bound(after); it != machines_.end(); ++it) {
@@ -109,13 +113,13 @@
             out.more = true;
             break;
         }
-        wire::ListedMachine l{m.name, m.up && *m.up <= at ? m.address : "", m.type, m.zone, m.spot};
+        wire::ListedMachine listed{m.name, m.up && *m.up <= at ? m.address : "", m.type, m.zone, m.spot};
         if (m.died && *m.died + secs(limits_.failed_after_s) <= at)
-            l.state = wire::ListedMachine::State::failed;
+            listed.state = wire::ListedMachine::State::failed;
         else if (m.up && *m.up <= at)
-            l.state = wire::ListedMachine::State::running;
-        l.age_s = Seconds(at - m.rented).count();
-        out.machines.push_back(std::move(l));
+            listed.state = wire::ListedMachine::State::running;
+        listed.age_s = Seconds(at - m.rented).count();
+        out.machines.push_back(std::move(listed));
     }
     return out;
 }
@@ -124,12 +128,13 @@
     Json machines = Json::array();
     for (auto& [name, m] : machines_)
         if (!m.gone) machines.push_back({m.name, m.type, m.zone, m.spot});
-    return Json{{"last", last_}, {"machines", std::move(machines)}, {"hires", hires_}};
+    return Json{
+        {"last", last_machine_number_}, {"machines", std::move(machines)}, {"hires", rentals_by_request_}};
 }
 
 void CloudModel::restore(const Json& saved, TimePoint now) {
-    last_ = saved.at("last");
-    hires_ = saved.at("hires").get<std::map<std::string, std::vector<std::string>>>();
+    last_machine_number_ = saved.at("last");
+    rentals_by_request_ = saved.at("hires").get<std::map<std::string, std::vector<std::string>>>();
     for (auto& j : saved.at("machines")) {
         Machine m;
         m.name = j.at(0), m.type = j.at(1), m.zone = j.at(2), m.spot = j.at(3);
--- a/src/lab/cloud_model.hpp
+++ b/src/lab/cloud_model.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Stand-in for the cloud: rentals under names that are never reused, boots, a list that is late, returns.
-// Plain decisions; starting and ending the machines' processes is the service's.
+// Model of a simulated cloud: rents machines under names that are never reused, boots them, lists them with a
+// delay, and takes them back. It does no I/O; CloudService starts and kills the processes of the machines.
 #include <map>
 #include <random>
 #include <set>
@@ -14,8 +14,8 @@
 
 struct CloudLimits {
     double rps = 20, list_lag_s = 1;
-    std::size_t machines = 8;   // in all
-    double failed_after_s = 1;  // until a machine that died is listed as failed
+    std::size_t machines = 8;   // maximum number of machines
+    double failed_after_s = 1;  // delay until a failed machine is listed as failed
 };
 
 class CloudModel {
@@ -30,35 +30,39 @@
     };
     const std::vector<wire::MachineType>& types() const { return types_; }
     bool within_rate(TimePoint now);
-    // The names, or nothing: none to be had. A malformed request is the caller's to refuse: `known` tells.
-    std::optional<std::vector<std::string>> rent(const wire::ProvisioningRequest& r, TimePoint now);
-    bool known(const wire::ProvisioningRequest& r) const;
-    // Machines that are there before anyone asks.
+    // Returns the names of the rented machines, possibly fewer than requested, or nothing if there is no
+    // capacity. A repeated request returns the same names. The caller refuses requests for which `known` is
+    // false.
+    std::optional<std::vector<std::string>> rent(const wire::ProvisioningRequest& request, TimePoint now);
+    // Whether the machine type exists in the zone of the request.
+    bool known(const wire::ProvisioningRequest& request) const;
+    // Adds machines that are available from the start, without a rental request.
     void warm(std::size_t n, TimePoint now);
-    // Whose processes are to be started now.
+    // Returns the machines whose boot time has come; the caller starts their processes.
     std::vector<std::string> boots_due(TimePoint now);
     void came_up(const std::string& name, const std::string& address, TimePoint now);
     void died(const std::string& name, TimePoint now);
-    // Their processes have ended already.
+    // Records that machines were returned. Their processes must have ended before the call.
     void returned(const std::vector<std::string>& names, TimePoint now);
     wire::MachineList list(const std::string& after, std::size_t page, TimePoint now);
     Machine* find(const std::string& name);
     std::vector<std::string> alive() const;
-    // What a successor of this process needs to know: names are not given again, and what ran is dead.
+    // Saves and restores the state across a restart of the process. Names are not reused, and all machines of
+    // the earlier process are listed as failed.
     wire::Json save() const;
     void restore(const wire::Json& saved, TimePoint now);
 
   private:
-    std::string add(const std::string& type, const std::string& zone, bool spot, TimePoint now);
+    std::string add_machine(const std::string& type, const std::string& zone, bool spot, TimePoint now);
     const wire::MachineType* type(const std::string& name) const;
     std::vector<wire::MachineType> types_;
     CloudLimits limits_;
     std::mt19937_64 random_;
     std::map<std::string, Machine> machines_;
-    std::map<std::string, std::vector<std::string>> hires_;
-    std::uint64_t last_ = 0;
-    double level_ = -1;
-    TimePoint level_at_{};
+    std::map<std::string, std::vector<std::string>> rentals_by_request_;
+    std::uint64_t last_machine_number_ = 0;
+    double tokens_ = -1;
+    TimePoint tokens_updated_at_{};
 };
 
 }  // namespace barrowrun::lab
--- a/src/lab/cloud_service.cpp
+++ b/src/lab/cloud_service.cpp
@@ -19,26 +19,27 @@
       settings_(std::move(settings)),
       server_(io, 1000, {120s, 10s, 600s, 10s}) {
     std::filesystem::create_directories(settings_.dir);
-    // What machines of an earlier process left running: they died with it.
+    // Machines of an earlier process count as failed, so the processes that they left running are killed.
     for (auto& e : std::filesystem::directory_iterator(settings_.dir))
         if (e.is_directory()) proc::end_marked(e.path().string());
     if (auto saved = depot::read_all(settings_.dir + "/cloud.json")) {
         model_.restore(Json::parse(*saved), Clock::now());
     }
     model_.warm(settings_.warm, Clock::now());
-    keep();
+    persist_state();
 }
 
-void CloudService::keep() {
+void CloudService::persist_state() {
     depot::write_whole(settings_.dir + "/cloud.json", model_.save().dump());
 }
 
 void CloudService::start() {
-    auto ended = [](std::exception_ptr e) {
+    auto rethrow_failure = [](std::exception_ptr e) {
         if (e) std::rethrow_exception(e);
     };
-    net::asio::co_spawn(io_, server_.serve([this](net::Request r) { return route(std::move(r)); }), ended);
-    net::asio::co_spawn(io_, boot_loop(), ended);
+    net::asio::co_spawn(io_, server_.serve([this](net::Request r) { return route(std::move(r)); }),
+                        rethrow_failure);
+    net::asio::co_spawn(io_, boot_loop(), rethrow_failure);
 }
 
 Task<> CloudService::boot_loop() {
@@ -56,47 +57,48 @@
 }
 
 Task<> CloudService::run_machine(std::string name) {
-    auto* m = model_.find(name);
+    auto* machine = model_.find(name);
     auto dir = machine_dir(name);
     std::filesystem::create_directories(dir);
     Json settings = settings_.worker_settings;
     settings["name"] = name;
-    settings["type"] = m->type;
-    settings["zone"] = m->zone;
-    settings["spot"] = m->spot;
+    settings["type"] = machine->type;
+    settings["zone"] = machine->zone;
+    settings["spot"] = machine->spot;
     for (auto& t : model_.types())
-        if (t.name == m->type)
+        if (t.name == machine->type)
             settings["cpus"] = t.cpus, settings["gpus"] = t.gpus, settings["mem_gb"] = t.mem_gb;
     settings["state_dir"] = dir;
-    settings["controllers"] = settings_.zones.at(m->zone);
+    settings["controllers"] = settings_.zones.at(machine->zone);
     auto address = free_address();
     settings["listen"] = address;
     if (settings_.zones.size() > 1) {
-        // Commands come from controllers of any zone; those of its own take the same way, which is cut for
-        // them as well: inside a cut nobody can lead, and so nobody commands.
-        auto front = free_address();
-        auto relay = std::make_unique<Relay>(io_, front, address);
+        // Controllers of every zone send commands through this relay. Cutting the zone also cuts it for the
+        // controllers in the same zone. That has no effect on commands, because no controller inside an
+        // isolated zone can be the leader.
+        auto relay_address = free_address();
+        auto relay = std::make_unique<Relay>(io_, relay_address, address);
         relay->start();
-        ways_.emplace(m->zone, std::move(relay));
-        settings["announce"] = address = front;
+        relays_by_zone_.emplace(machine->zone, std::move(relay));
+        settings["announce"] = address = relay_address;
     }
     depot::write_whole(dir + "/worker.json", settings.dump(2));
-    Child::What what{{settings_.worker, "--config", dir + "/worker.json"}, dir + "/log", {}, true};
+    Child::Command command{{settings_.worker, "--config", dir + "/worker.json"}, dir + "/log", {}, true};
     for (;;) {
         auto& running = running_[name];
-        running.child = std::make_shared<Child>(io_, what);
+        running.child = std::make_shared<Child>(io_, command);
         auto child = running.child;
         model_.came_up(name, address, Clock::now());
         auto status = co_await child->wait();
         if (running_[name].ending) co_return;
-        // A worker that ends by itself is started again by its machine, as an init system would.
-        spdlog::info("the worker of {} ended with {}: it is started again", name, status);
+        // A worker that exits is restarted, as the init system of a real machine would do.
+        spdlog::info("machine {}: worker exited with status {}; restarting it", name, status);
         co_await net::sleep_for(300ms);
         if (running_[name].ending) co_return;
     }
 }
 
-void CloudService::end_machine(const std::string& name) {
+void CloudService::kill_machine(const std::string& name) {
     auto it = running_.find(name);
     if (it == running_.end()) return;
     it->second.ending = true;
@@ -104,8 +106,8 @@
     proc::end_marked(machine_dir(name));
 }
 
-void CloudService::end_all() {
-    for (auto& [name, r] : running_) end_machine(name);
+void CloudService::kill_all() {
+    for (auto& [name, r] : running_) kill_machine(name);
 }
 
 Task<> CloudService::resume_later(std::string name, Clock::duration after) {
@@ -116,18 +118,18 @@
     it->second.child->signal(SIGCONT);
 }
 
-Task<> CloudService::take_later(std::string name, Clock::duration after) {
+Task<> CloudService::reclaim_later(std::string name, Clock::duration after) {
     co_await net::sleep_for(after);
-    end_machine(name);
-    // Taken machines are not listed any more.
+    kill_machine(name);
+    // Recalled machines are no longer listed.
     model_.returned({name}, Clock::now());
-    keep();
+    persist_state();
 }
 
-Response CloudService::fault(const Json& body) {
+Response CloudService::inject_machine_fault(const Json& body) {
     auto kind = wire::text(body, "kind").value_or("");
     auto what = wire::text(body, "what").value_or("");
-    auto length = wire::amount(body, "for_s").value_or(10);
+    auto duration_s = wire::amount(body, "for_s").value_or(10);
     bool only_worker = what.starts_with("worker");
     auto colon = what.find(':');
     auto name = colon == std::string::npos ? "" : what.substr(colon + 1);
@@ -142,29 +144,29 @@
     if (kind == "kill" && only_worker) {
         it->second.child->signal(SIGKILL);
     } else if (kind == "kill") {
-        end_machine(name);
+        kill_machine(name);
         model_.died(name, Clock::now());
     } else if (kind == "hang") {
-        // The machine as a whole, its worker and all that it runs; or the worker alone, while its tasks go
-        // on.
+        // `machine` stops the worker and its tasks; `worker` stops the worker alone, while its tasks keep
+        // running.
         it->second.child->signal(SIGSTOP);
         if (!only_worker)
             for (auto pid : proc::marked(machine_dir(name))) ::kill(pid, SIGSTOP);
-        net::asio::co_spawn(io_, resume_later(name, secs(length)), net::asio::detached);
+        net::asio::co_spawn(io_, resume_later(name, secs(duration_s)), net::asio::detached);
     } else if (kind == "recall") {
-        // As a spot machine: a notice, and at its end the machine is gone.
-        depot::write_whole(machine_dir(name) + "/recall", std::to_string(length));
-        net::asio::co_spawn(io_, take_later(name, secs(length)), net::asio::detached);
+        // The recall of a spot machine: the worker gets a notice, and the machine is taken when it expires.
+        depot::write_whole(machine_dir(name) + "/recall", std::to_string(duration_s));
+        net::asio::co_spawn(io_, reclaim_later(name, secs(duration_s)), net::asio::detached);
     } else {
         return {400, {{"error", "machines can be killed, hung or recalled"}}};
     }
     return {200, {{"what", name}}};
 }
 
-Response CloudService::zone_fault(const Json& body) {
+Response CloudService::inject_zone_fault(const Json& body) {
     const auto zone = wire::text(body, "what").value_or("").substr(std::string("zone:").size());
     const auto until = Clock::now() + secs(wire::amount(body, "for_s").value_or(10));
-    auto [first, last] = ways_.equal_range(zone);
+    auto [first, last] = relays_by_zone_.equal_range(zone);
     for (auto it = first; it != last; ++it) {
         if (wire::text(body, "kind") == "slow")
             it->second->slow(until);
@@ -178,11 +180,11 @@
     auto target = Target::parse(request.target);
     auto decoded = wire::decode(request.body);
     const Json body = decoded ? *decoded : Json::object();
-    if (target.path == "/lab/machine") co_return fault(body);
-    if (target.path == "/lab/zone") co_return zone_fault(body);
+    if (target.path == "/lab/machine") co_return inject_machine_fault(body);
+    if (target.path == "/lab/zone") co_return inject_zone_fault(body);
     if (target.path == "/lab/fault") co_return faults_.set(request.body, Clock::now());
-    Response refusal;
-    if (!co_await faults_.pass(refusal)) co_return refusal;
+    Response error_response;
+    if (!co_await faults_.apply(error_response)) co_return error_response;
     auto now = Clock::now();
     if (!model_.within_rate(now)) co_return Response{429, {{"error", "over the rate"}}};
     const bool get = request.method == verb::get, post = request.method == verb::post;
@@ -195,16 +197,16 @@
         if (!r || !model_.known(*r)) co_return Response{400, {{"error", "malformed"}}};
         auto names = model_.rent(*r, now);
         if (!names) co_return Response{503, {{"error", "no capacity"}}};
-        keep();
+        persist_state();
         co_return Response{200, wire::machine_names_json(*names)};
     }
     if (post && target.path == "/rentals/return") {
         auto names = wire::parse_machine_names(body);
         if (!names || names->size() > 100) co_return Response{400, {{"error", "malformed"}}};
-        // They are gone by the time of the answer.
-        for (auto& n : *names) end_machine(n);
+        // The machines are removed before the answer is sent.
+        for (auto& n : *names) kill_machine(n);
         model_.returned(*names, Clock::now());
-        keep();
+        persist_state();
         co_return Response{200, Json::object()};
     }
     co_return Response{400, {{"error", "no such request"}}};
--- a/src/lab/cloud_service.hpp
+++ b/src/lab/cloud_service.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The cloud stand-in as a process: its machines are workers that it starts, each with its tasks.
+// The simulated cloud as a process. Each of its machines is a worker process that it starts, with the tasks
+// that the worker runs.
 #include "lab/child.hpp"
 #include "lab/cloud_model.hpp"
 #include "lab/relay.hpp"
@@ -8,11 +9,11 @@
 namespace barrowrun::lab {
 
 struct CloudSettings {
-    std::string dir;             // machines' directories
-    std::string worker;          // the program
-    wire::Json worker_settings;  // what all workers have in common
-    wire::Json zones;            // how those of each zone reach the controllers
-    std::size_t warm = 0;
+    std::string dir;             // holds one directory for each machine
+    std::string worker;          // path of the barrowrun-worker program
+    wire::Json worker_settings;  // settings shared by all workers
+    wire::Json zones;            // for each zone, the controller addresses for its workers
+    std::size_t warm = 0;        // machines that are available from the start
 };
 
 class CloudService {
@@ -20,30 +21,31 @@
     CloudService(net::asio::io_context& io, CloudModel model, CloudSettings settings);
     void listen(const std::string& address) { server_.listen(address); }
     void start();
-    void end_all();  // ends every machine and what runs on it
+    void kill_all();  // kills the worker and the tasks of every machine
 
   private:
-    struct Running {
+    struct RunningMachine {
         std::shared_ptr<Child> child;
         bool ending = false;
     };
     Task<net::Response> route(net::Request request);
-    net::Response fault(const wire::Json& body);
-    net::Response zone_fault(const wire::Json& body);
+    net::Response inject_machine_fault(const wire::Json& body);
+    net::Response inject_zone_fault(const wire::Json& body);
     Task<> boot_loop();
     Task<> run_machine(std::string name);
-    Task<> take_later(std::string name, Clock::duration after);
+    Task<> reclaim_later(std::string name, Clock::duration after);
     Task<> resume_later(std::string name, Clock::duration after);
-    void end_machine(const std::string& name);
+    void kill_machine(const std::string& name);
     std::string machine_dir(const std::string& name) const { return settings_.dir + "/" + name; }
-    void keep();
+    void persist_state();
     net::asio::io_context& io_;
     CloudModel model_;
     CloudSettings settings_;
     Faults faults_;
     net::HttpServer server_;
-    std::map<std::string, Running> running_;
-    std::multimap<std::string, std::unique_ptr<Relay>> ways_;  // to machines, by zone, if there are several
+    std::map<std::string, RunningMachine> running_;
+    // Relays in front of the workers, by zone; empty if the site has a single zone.
+    std::multimap<std::string, std::unique_ptr<Relay>> relays_by_zone_;
     std::mt19937 random_{std::random_device{}()};
 };
 
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -9,8 +9,8 @@
 using namespace std::chrono_literals;
 using net::asio::ip::tcp;
 
-Relay::Relay(net::asio::io_context& io, const std::string& front, const std::string& back)
-    : io_(io), back_(back), acceptor_(io, net::parse_endpoint(front).value()) {}
+Relay::Relay(net::asio::io_context& io, const std::string& listen_address, const std::string& target_address)
+    : io_(io), target_address_(target_address), acceptor_(io, net::parse_endpoint(listen_address).value()) {}
 
 void Relay::start() {
     net::asio::co_spawn(io_, accept_loop(), [](std::exception_ptr e) {
@@ -20,50 +20,50 @@
 
 Task<> Relay::accept_loop() {
     for (;;) {
-        boost::system::error_code ec;
+        boost::system::error_code error;
         auto socket =
-            co_await acceptor_.async_accept(net::asio::redirect_error(net::asio::use_awaitable, ec));
-        if (ec) {
+            co_await acceptor_.async_accept(net::asio::redirect_error(net::asio::use_awaitable, error));
+        if (error) {
             co_await net::sleep_for(20ms);
             continue;
         }
-        net::asio::co_spawn(io_, carry(std::move(socket)), net::asio::detached);
+        net::asio::co_spawn(io_, relay_connection(std::move(socket)), net::asio::detached);
     }
 }
 
-Task<> Relay::pass() {
+Task<> Relay::apply_faults() {
     while (Clock::now() < cut_until_) co_await net::sleep_for(20ms);
     if (Clock::now() < slow_until_) co_await net::sleep_for(150ms);
 }
 
-Task<> Relay::pump(Socket& from, Socket& to) {
-    std::array<char, 16384> part;
-    boost::system::error_code ec;
+Task<> Relay::forward(Socket& from, Socket& to) {
+    std::array<char, 16384> buffer;
+    boost::system::error_code error;
     for (;;) {
-        auto n = co_await from.async_read_some(net::asio::buffer(part),
-                                               net::asio::redirect_error(net::asio::use_awaitable, ec));
-        if (ec) break;
-        co_await pass();
-        co_await net::asio::async_write(to, net::asio::buffer(part.data(), n),
-                                        net::asio::redirect_error(net::asio::use_awaitable, ec));
-        if (ec) break;
+        auto bytes = co_await from.async_read_some(
+            net::asio::buffer(buffer), net::asio::redirect_error(net::asio::use_awaitable, error));
+        if (error) break;
+        co_await apply_faults();
+        co_await net::asio::async_write(to, net::asio::buffer(buffer.data(), bytes),
+                                        net::asio::redirect_error(net::asio::use_awaitable, error));
+        if (error) break;
     }
-    co_await pass();
-    // One side has ended: so does the other, after what was under way.
-    to.shutdown(tcp::socket::shutdown_send, ec);
+    co_await apply_faults();
+    // One side has closed; the other is closed after the data in transit has been delivered.
+    to.shutdown(tcp::socket::shutdown_send, error);
 }
 
-Task<> Relay::carry(Socket front) {
+Task<> Relay::relay_connection(Socket accepted) {
     using namespace net::asio::experimental::awaitable_operators;
-    boost::system::error_code ec;
-    front.set_option(tcp::no_delay(true), ec);
-    co_await pass();
-    Socket back(io_);
-    co_await back.async_connect(net::parse_endpoint(back_).value(),
-                                net::asio::redirect_error(net::asio::use_awaitable, ec));
-    if (ec) co_return;  // refused there is refused here
-    back.set_option(tcp::no_delay(true), ec);
-    co_await (pump(front, back) && pump(back, front));
+    boost::system::error_code error;
+    accepted.set_option(tcp::no_delay(true), error);
+    co_await apply_faults();
+    Socket target(io_);
+    co_await target.async_connect(net::parse_endpoint(target_address_).value(),
+                                  net::asio::redirect_error(net::asio::use_awaitable, error));
+    if (error) co_return;  // a failed connection to the target closes the accepted one
+    target.set_option(tcp::no_delay(true), error);
+    co_await (forward(accepted, target) && forward(target, accepted));
 }
 
 }  // namespace barrowrun::lab
--- a/src/lab/relay.hpp
+++ b/src/lab/relay.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// A way between two processes that can be cut and slowed: what is under way is held, and delivered in order
-// afterwards, as an interrupted network would.
+// A TCP relay between two processes that simulates network faults. During a cut it holds the data in transit
+// and delivers it in order afterwards, as TCP does after a network interruption; when slowed it delays the
+// data.
 #include <list>
 #include <string>
 
@@ -12,8 +13,9 @@
 
 class Relay {
   public:
-    // Listens on `front` at once; connects to `back` for each connection. Throws if it can't listen.
-    Relay(net::asio::io_context& io, const std::string& front, const std::string& back);
+    // Listens on `listen_address` immediately, and connects to `target_address` for each accepted connection.
+    // Throws if it cannot listen.
+    Relay(net::asio::io_context& io, const std::string& listen_address, const std::string& target_address);
     void start();
     void cut(TimePoint until) { cut_until_ = until; }
     void slow(TimePoint until) { slow_until_ = until; }
@@ -21,11 +23,11 @@
   private:
     using Socket = net::asio::ip::tcp::socket;
     Task<> accept_loop();
-    Task<> carry(Socket front);
-    Task<> pump(Socket& from, Socket& to);
-    Task<> pass();
+    Task<> relay_connection(Socket accepted);
+    Task<> forward(Socket& from, Socket& to);
+    Task<> apply_faults();
     net::asio::io_context& io_;
-    std::string back_;
+    std::string target_address_;
     net::asio::ip::tcp::acceptor acceptor_;
     TimePoint cut_until_{}, slow_until_{};
 };
--- a/src/lab/service.hpp
+++ b/src/lab/service.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What both stand-ins share: queries in targets, and faults that are brought about on request.
+// Code shared by the simulated state service and cloud: parsing of request targets, and injection of faults.
 #include <map>
 #include <optional>
 #include <random>
@@ -11,6 +11,7 @@
 
 using net::Task;
 
+// The path and the query parameters of a request target.
 struct Target {
     std::string path;
     std::map<std::string, std::string> query;
@@ -19,15 +20,17 @@
     std::string text(const std::string& name) const;
 };
 
-// Faults that an interface shows: for a while it refuses (503), keeps silent, or takes its time.
+// Faults of an HTTP interface: for a limited time it refuses requests with 503, does not answer, or answers
+// late.
 class Faults {
   public:
     enum class Kind { none, refuse, cut, slow };
-    // Answers `POST /lab/fault {"kind":..., "for_s":...}`.
+    // Handles `POST /lab/fault {"kind":..., "for_s":...}`.
     net::Response set(const std::string& body, TimePoint now);
-    Kind at(TimePoint now) const { return now < until_ ? kind_ : Kind::none; }
-    // Before a request is looked at: false, if it is not to be answered now but with `answer`, or never.
-    Task<bool> pass(net::Response& answer);
+    Kind active_kind(TimePoint now) const { return now < until_ ? kind_ : Kind::none; }
+    // Called before a request is handled. Returns false if the request is not to be executed; the caller then
+    // sends `answer`. During a cut it returns only when the cut has ended.
+    Task<bool> apply(net::Response& answer);
 
   private:
     Kind kind_ = Kind::none;
--- a/src/lab/site.cpp
+++ b/src/lab/site.cpp
@@ -21,19 +21,20 @@
         std::filesystem::create_directories(settings_.dir + "/" + d);
 }
 
-std::string Site::way(const std::vector<std::string>& names, const std::string& to, bool between_zones) {
+std::string Site::reachable_address(const std::vector<std::string>& names, const std::string& to,
+                                    bool between_zones) {
     if (!settings_.relays && !between_zones) return to;
-    auto front = free_address();
-    auto relay = std::make_shared<Relay>(io_, front, to);
+    auto relay_address = free_address();
+    auto relay = std::make_shared<Relay>(io_, relay_address, to);
     relay->start();
     for (auto& name : names) relays_.emplace(name, relay);
-    return front;
+    return relay_address;
 }
 
-std::string Site::way_between(const std::string& name, const std::string& from, const std::string& to_zone,
-                              const std::string& to) {
-    if (from == to_zone) return way({name}, to, false);
-    return way({name, "zone:" + from, "zone:" + to_zone}, to, true);
+std::string Site::address_between_zones(const std::string& name, const std::string& from,
+                                        const std::string& to_zone, const std::string& to) {
+    if (from == to_zone) return reachable_address({name}, to, false);
+    return reachable_address({name, "zone:" + from, "zone:" + to_zone}, to, true);
 }
 
 std::map<std::string, std::string> Site::environment() const {
@@ -56,7 +57,8 @@
         members.push_back(
             {{"node_name", other},
              {"area", zone_of(k)},
-             {"addr", way_between(other, zone, zone_of(k), internal_[static_cast<std::size_t>(k)])}});
+             {"addr", address_between_zones(other, zone, zone_of(k),
+                                            internal_addresses_[static_cast<std::size_t>(k)])}});
     }
     Json teams = Json::array();
     auto add_team = [&](const std::string& text) {
@@ -83,12 +85,12 @@
     for (auto& t : settings_.teams) add_team(t);
     Json s{{"node_name", name},
            {"area", zone},
-           {"serve_on", public_[static_cast<std::size_t>(i)]},
-           {"internal_addr", internal_[static_cast<std::size_t>(i)]},
+           {"serve_on", public_addresses_[static_cast<std::size_t>(i)]},
+           {"internal_addr", internal_addresses_[static_cast<std::size_t>(i)]},
            {"members", members},
            {"external",
-            {{"cloud", way({"cloud", "zone:" + zone}, cloud_, several)},
-             {"state", way({"state:" + name, "zone:" + zone}, state_, several)}}},
+            {{"cloud", reachable_address({"cloud", "zone:" + zone}, cloud_, several)},
+             {"state", reachable_address({"state:" + name, "zone:" + zone}, state_, several)}}},
            {"deployment",
             {{"size", settings_.controllers},
              {"zones", settings_.zones},
@@ -107,102 +109,105 @@
     depot::write_whole(settings_.dir + "/" + name + ".json", s.dump(2));
 }
 
-void Site::allocate() {
-    if (!internal_.empty()) return;
+void Site::allocate_addresses() {
+    if (!internal_addresses_.empty()) return;
     for (int i = 0; i < settings_.controllers; ++i) {
-        public_.push_back(free_address());
-        internal_.push_back(free_address());
+        public_addresses_.push_back(free_address());
+        internal_addresses_.push_back(free_address());
     }
 }
 
 void Site::add_neighbour(const std::string& name, const std::vector<std::string>& nodes) {
-    Json ways = Json::array();
-    for (auto& node : nodes) ways.push_back(way({"cell:" + name}, node, true));
-    neighbours_[name] = {{"nodes", std::move(ways)}};
+    Json addresses = Json::array();
+    for (auto& node : nodes) addresses.push_back(reachable_address({"cell:" + name}, node, true));
+    neighbours_[name] = {{"nodes", std::move(addresses)}};
 }
 
 void Site::start() {
-    allocate();
+    allocate_addresses();
     control_.listen("127.0.0.1:0");
     state_ = free_address();
     cloud_ = free_address();
     for (int i = 0; i < settings_.controllers; ++i) {
-        nodes_.push_back(way({"barrow-" + std::to_string(i), "zone:" + zone_of(i)},
-                             public_[static_cast<std::size_t>(i)], settings_.zones.size() > 1));
+        nodes_.push_back(reachable_address({"barrow-" + std::to_string(i), "zone:" + zone_of(i)},
+                                           public_addresses_[static_cast<std::size_t>(i)],
+                                           settings_.zones.size() > 1));
     }
-    Json operators{{"idle_return_s", 3600},
-                   {"leader_hold_ms", static_cast<int>(settings_.hold_s * 1000)},
-                   {"promise_ms", 1000}};
+    Json operator_settings{{"idle_return_s", 3600},
+                           {"leader_hold_ms", static_cast<int>(settings_.leader_hold_s * 1000)},
+                           {"promise_ms", 1000}};
     if (!neighbours_.empty()) {
-        // The first cell is at home to the team, the others run what it can't.
+        // The first cell is the home cell of the team; the others run tasks that do not fit there.
         Json others = Json::array();
         std::string home = settings_.cell;
         for (auto& [name, n] : neighbours_.items()) home = std::min(home, name);
         for (auto& [name, n] : neighbours_.items())
             if (name != home) others.push_back(name);
         if (settings_.cell != home) others.push_back(settings_.cell);
-        operators["cells"] = {{"self", settings_.cell},
-                              {"neighbours", neighbours_},
-                              {"teams", {{settings_.team, {{"home", home}, {"run_in", others}}}}},
-                              {"spill_after_s", settings_.spill_after_s}};
+        operator_settings["cells"] = {{"self", settings_.cell},
+                                      {"neighbours", neighbours_},
+                                      {"teams", {{settings_.team, {{"home", home}, {"run_in", others}}}}},
+                                      {"spill_after_s", settings_.spill_after_s}};
         if (settings_.return_after_s > 0)
-            operators["cells"]["return_after_s"] = {{"batch", settings_.return_after_s}};
+            operator_settings["cells"]["return_after_s"] = {{"batch", settings_.return_after_s}};
     }
-    if (!settings_.operators.empty()) {
-        auto text = depot::read_all(settings_.operators);
+    if (!settings_.operator_file.empty()) {
+        auto text = depot::read_all(settings_.operator_file);
         auto more = Json::parse(text.value_or(""), nullptr, false);
         if (!more.is_object())
-            throw std::runtime_error(settings_.operators + ": expected a file with a JSON object");
-        operators.update(more);
+            throw std::runtime_error(settings_.operator_file + ": expected a file with a JSON object");
+        operator_settings.update(more);
     }
-    depot::write_whole(settings_.dir + "/operator.json", operators.dump(2));
+    depot::write_whole(settings_.dir + "/operator.json", operator_settings.dump(2));
     write_cloud();
     const auto logs = settings_.dir + "/logs/";
     const auto lab = settings_.programs + "/barrowrun-lab";
-    parts_["state"] = {
+    processes_["state"] = {
         {{lab, "state", "--listen", state_, "--file", settings_.dir + "/state.db"}, logs + "state", {}, true},
         nullptr,
-        settings_.state_back};
-    parts_["cloud"] = {{{lab, "cloud", "--listen", cloud_, "--dir", settings_.dir + "/machines", "--config",
-                         settings_.dir + "/cloud.json"},
-                        logs + "cloud",
-                        {},
-                        true},
-                       nullptr,
-                       1s};
+        settings_.state_restart_delay};
+    processes_["cloud"] = {{{lab, "cloud", "--listen", cloud_, "--dir", settings_.dir + "/machines",
+                             "--config", settings_.dir + "/cloud.json"},
+                            logs + "cloud",
+                            {},
+                            true},
+                           nullptr,
+                           1s};
     for (int i = 0; i < settings_.controllers; ++i) {
         auto name = "barrow-" + std::to_string(i);
         write_controller(i);
-        parts_[name] = {{{settings_.programs + "/barrowrun", "--operator", settings_.dir + "/operator.json",
-                          "--config", settings_.dir + "/" + name + ".json"},
-                         logs + name,
-                         {},
-                         true},
-                        nullptr,
-                        settings_.controller_back};
+        processes_[name] = {
+            {{settings_.programs + "/barrowrun", "--operator", settings_.dir + "/operator.json", "--config",
+              settings_.dir + "/" + name + ".json"},
+             logs + name,
+             {},
+             true},
+            nullptr,
+            settings_.controller_restart_delay};
     }
-    for (auto& [name, part] : parts_) {
-        part.child = std::make_shared<Child>(io_, part.what);
-        net::asio::co_spawn(io_, keep(name), net::asio::detached);
+    for (auto& [name, process] : processes_) {
+        process.child = std::make_shared<Child>(io_, process.command);
+        net::asio::co_spawn(io_, supervise(name), net::asio::detached);
     }
     net::asio::co_spawn(io_, control_.serve([this](net::Request r) { return route(std::move(r)); }),
                         net::asio::detached);
-    Json about{{"control", control_.address()}, {"nodes", nodes_}, {"depot", depot()}, {"pid", ::getpid()}};
-    depot::write_whole(settings_.dir + "/site.json", about.dump(2));
+    Json site_info{
+        {"control", control_.address()}, {"nodes", nodes_}, {"depot", depot()}, {"pid", ::getpid()}};
+    depot::write_whole(settings_.dir + "/site.json", site_info.dump(2));
 }
 
 void Site::write_cloud() {
-    // As the workers of each zone see them.
+    // The controller addresses for the workers of each zone.
     Json zones = Json::object();
     for (auto& zone : settings_.zones) {
         Json& seen = zones[zone] = Json::object();
         for (int i = 0; i < settings_.controllers; ++i) {
-            const auto at = static_cast<std::size_t>(i);
+            const auto index = static_cast<std::size_t>(i);
             const auto name = "barrow-" + std::to_string(i);
             if (settings_.zones.size() == 1)
-                seen[name] = nodes_[at];
+                seen[name] = nodes_[index];
             else
-                seen[name] = way_between(name, zone, zone_of(i), public_[at]);
+                seen[name] = address_between_zones(name, zone, zone_of(i), public_addresses_[index]);
         }
     }
     Json cloud{{"types",
@@ -228,41 +233,41 @@
     depot::write_whole(settings_.dir + "/cloud.json", cloud.dump(2));
 }
 
-Task<> Site::keep(std::string name) {
-    auto& part = parts_.at(name);
+Task<> Site::supervise(std::string name) {
+    auto& process = processes_.at(name);
     for (;;) {
-        auto child = part.child;
+        auto child = process.child;
         auto status = co_await child->wait();
         if (stopping_) co_return;
-        spdlog::info("{} ended with {}: it is started again", name, status);
-        co_await net::sleep_for(part.back);
+        spdlog::info("process {}: exited with status {}; restarting it", name, status);
+        co_await net::sleep_for(process.restart_delay);
         if (stopping_) co_return;
-        part.child = std::make_shared<Child>(io_, part.what);
+        process.child = std::make_shared<Child>(io_, process.command);
     }
 }
 
 void Site::stop() {
     stopping_ = true;
-    for (auto& [name, part] : parts_) part.child->signal(SIGKILL);
+    for (auto& [name, process] : processes_) process.child->signal(SIGKILL);
     std::error_code ec;
     for (auto& e : std::filesystem::directory_iterator(settings_.dir + "/machines", ec))
         if (e.is_directory()) proc::end_marked(e.path().string());
     std::filesystem::remove(settings_.dir + "/site.json", ec);
 }
 
-Task<bool> Site::ready(Clock::duration most) {
-    const auto end = Clock::now() + most;
+Task<bool> Site::ready(Clock::duration timeout) {
+    const auto end = Clock::now() + timeout;
     // A job that nobody submitted is unknown once the state service has said so; a submission that is not one
     // is refused only by a node that looks at it.
     while (Clock::now() < end) {
-        std::size_t good = 0;
+        std::size_t ready_nodes = 0;
         for (auto& node : nodes_) {
             auto reply = co_await client_.call(node, verb::get, "/submissions/wk-0", std::nullopt, 2s);
-            good += reply.status == 404;
+            ready_nodes += reply.status == 404;
         }
         auto catalog = co_await client_.call(state_, verb::get, "/kv/catalog", std::nullopt, 1s);
-        const auto leads = co_await leader();
-        if (good == nodes_.size() && catalog.status == 200 && !leads.empty()) co_return true;
+        const auto current_leader = co_await leader();
+        if (ready_nodes == nodes_.size() && catalog.status == 200 && !current_leader.empty()) co_return true;
         co_await net::sleep_for(50ms);
     }
     co_return false;
@@ -275,51 +280,52 @@
 }
 
 Task<> Site::resume_later(std::string name, Clock::duration after) {
-    auto child = parts_.at(name).child;
+    auto child = processes_.at(name).child;
     co_await net::sleep_for(after);
     child->signal(SIGCONT);
 }
 
 Task<Response> Site::route(net::Request request) {
     auto body = wire::decode(request.body);
-    if (request.target == "/fault" && body) co_return co_await fault(std::move(*body));
+    if (request.target == "/fault" && body) co_return co_await inject_fault(std::move(*body));
     co_return Response{404, {{"error", "no such path"}}};
 }
 
-Task<Response> Site::fault(Json body) {
+Task<Response> Site::inject_fault(Json body) {
     auto kind = wire::text(body, "kind").value_or("");
     auto what = wire::text(body, "what").value_or("");
-    auto length = secs(wire::amount(body, "for_s").value_or(10));
+    auto duration = secs(wire::amount(body, "for_s").value_or(10));
     if (what == "leader") {
         what = co_await leader();
         if (what.empty()) co_return Response{404, {{"error", "nobody leads"}}};
     }
     if (what == "any") {
         std::vector<std::string> all{"machine", "worker"};
-        for (auto& [name, part] : parts_)
+        for (auto& [name, process] : processes_)
             if (name != "cloud") all.push_back(name);
         what = all[random_() % all.size()];
     }
     body["what"] = what;
-    // What was connected may have been killed meanwhile.
+    // Pooled connections may lead to processes that have been killed meanwhile.
     client_.forget(state_);
     client_.forget(cloud_);
     if (what.starts_with("machine") || what.starts_with("worker")) {
         auto reply = co_await client_.call(cloud_, verb::post, "/lab/machine", body, 5s);
         co_return Response{reply.status ? reply.status : 503, std::move(reply.body)};
     }
-    auto it = parts_.find(what);
+    auto it = processes_.find(what);
     if (kind == "kill" || kind == "hang") {
-        if (it == parts_.end()) co_return Response{404, {{"error", "there is no " + what}}};
+        if (it == processes_.end()) co_return Response{404, {{"error", "there is no " + what}}};
         it->second.child->signal(kind == "kill" ? SIGKILL : SIGSTOP);
-        if (kind == "hang") net::asio::co_spawn(io_, resume_later(what, length), net::asio::detached);
+        if (kind == "hang") net::asio::co_spawn(io_, resume_later(what, duration), net::asio::detached);
         co_return Response{200, {{"what", what}}};
     }
     if (kind != "cut" && kind != "slow" && kind != "refuse")
         co_return Response{400, {{"error", "expected kill, cut, hang, slow or refuse"}}};
     if (what == "state" || what == "cloud") {
-        // All its users at once: the service itself keeps silent, refuses or takes its time.
-        Json ask{{"kind", kind}, {"for_s", Seconds(length).count()}};
+        // The fault applies to all users of the service: the service itself does not answer, refuses or
+        // answers late.
+        Json ask{{"kind", kind}, {"for_s", Seconds(duration).count()}};
         auto reply = co_await client_.call(what == "state" ? state_ : cloud_, verb::post, "/lab/fault",
                                            std::move(ask), 2s);
         co_return Response{reply.status ? reply.status : 503, {{"what", what}}};
@@ -333,12 +339,12 @@
     }
     for (auto r = first; r != last; ++r) {
         if (kind == "cut")
-            r->second->cut(Clock::now() + length);
+            r->second->cut(Clock::now() + duration);
         else
-            r->second->slow(Clock::now() + length);
+            r->second->slow(Clock::now() + duration);
     }
     if (what.starts_with("zone:")) {
-        // The ways to its machines are kept where these are started.
+        // The relays to the machines of the zone are in the process of the simulated cloud.
         auto reply = co_await client_.call(cloud_, verb::post, "/lab/zone", body, 5s);
         if (reply.status != 200) co_return Response{503, {{"error", "the cloud stand-in does not answer"}}};
     }
--- a/src/lab/state_service.hpp
+++ b/src/lab/state_service.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The state stand-in as a process: HTTP around StateStore.
+// The simulated state service as a process: an HTTP interface to StateStore.
 #include "lab/service.hpp"
 #include "lab/state_store.hpp"
 
@@ -16,12 +16,12 @@
     Task<net::Response> route(net::Request request);
     Task<net::Response> follow(Target target);
     Task<> expire_loop();
-    void changed();
+    void wake_watches();
     net::asio::io_context& io_;
     StateStore store_;
     Faults faults_;
     net::HttpServer server_;
-    std::shared_ptr<net::asio::steady_timer> change_;  // cancelled at every change
+    std::shared_ptr<net::asio::steady_timer> change_;  // cancelled at every change to wake all watches
 };
 
 }  // namespace barrowrun::lab
--- a/src/lab/state_store.cpp
+++ b/src/lab/state_store.cpp
@@ -5,11 +5,11 @@
 namespace barrowrun::lab {
 namespace {
 
-Answer bad(const char* why) {
+Answer bad_request(const char* why) {
     return {400, {{"error", why}}};
 }
 
-// The least string greater than all that begin with the prefix; empty: there is none.
+// The least string greater than all strings with the prefix; empty if there is none.
 std::string after_prefix(std::string prefix) {
     while (!prefix.empty()) {
         if (static_cast<unsigned char>(prefix.back()) != 0xff) {
@@ -38,13 +38,13 @@
         "CREATE TABLE IF NOT EXISTS holds(id INTEGER PRIMARY KEY AUTOINCREMENT, ttl_ms INTEGER NOT NULL);"
         "CREATE TABLE IF NOT EXISTS meta(name TEXT PRIMARY KEY, n INTEGER NOT NULL);"
         "INSERT OR IGNORE INTO meta VALUES('ledger', 0);");
-    auto ledger = db_.prepare("SELECT n FROM meta WHERE name='ledger'");
-    ledger.step();
-    revision_ = oldest_since_ = static_cast<std::uint64_t>(ledger.number(0));
-    auto holds = db_.prepare("SELECT id, ttl_ms FROM holds");
-    while (holds.step()) {
-        auto ttl = std::chrono::milliseconds(holds.number(1));
-        holds_[static_cast<std::uint64_t>(holds.number(0))] = {ttl, now + ttl};
+    auto revision_row = db_.prepare("SELECT n FROM meta WHERE name='ledger'");
+    revision_row.step();
+    revision_ = oldest_since_ = static_cast<std::uint64_t>(revision_row.number(0));
+    auto lease_rows = db_.prepare("SELECT id, ttl_ms FROM holds");
+    while (lease_rows.step()) {
+        auto ttl = std::chrono::milliseconds(lease_rows.number(1));
+        leases_[static_cast<std::uint64_t>(lease_rows.number(0))] = {ttl, now + ttl};
     }
 }
 
@@ -61,7 +61,7 @@
 }
 
 Answer StateStore::get(const std::string& key) {
-    if (!valid_key(key)) return bad("key");
+    if (!valid_key(key)) return bad_request("key");
     auto s = db_.prepare("SELECT value, mark, permit FROM kv WHERE key=?");
     s.text(key);
     if (!s.step()) return {404, {{"ledger", revision_}}};
@@ -91,7 +91,7 @@
     return {200, {{"entries", std::move(entries)}, {"truncated", more}, {"ledger", revision_}}};
 }
 
-std::optional<std::uint64_t> StateStore::mark_of(const std::string& key) {
+std::optional<std::uint64_t> StateStore::revision_of(const std::string& key) {
     auto s = db_.prepare("SELECT mark FROM kv WHERE key=?");
     s.text(key);
     if (!s.step()) return std::nullopt;
@@ -99,34 +99,34 @@
 }
 
 Answer StateStore::multi(const Json& body, std::size_t body_bytes) {
-    if (body_bytes > limits_.body_bytes) return bad("larger than 64 KiB");
+    if (body_bytes > limits_.body_bytes) return bad_request("larger than 64 KiB");
     const Json* conditions = wire::find(body, "if");
     const Json* operations = wire::find(body, "then");
     if ((conditions && !conditions->is_array()) || (operations && !operations->is_array()))
-        return bad("lists");
+        return bad_request("lists");
     std::size_t n = operations ? operations->size() : 0;
     if (n > limits_.txn_ops || (conditions && conditions->size() > 4 * limits_.txn_ops))
-        return bad("too many");
+        return bad_request("too many");
     for (std::size_t i = 0; i < n; ++i) {
         const Json& op = (*operations)[i];
         auto set = wire::text(op, "set"), drop = wire::text(op, "drop");
-        if (set.has_value() == drop.has_value()) return bad("set or drop");
-        if (!valid_key(set ? *set : *drop)) return bad("key");
+        if (set.has_value() == drop.has_value()) return bad_request("set or drop");
+        if (!valid_key(set ? *set : *drop)) return bad_request("key");
         if (!set) continue;
-        if (!op.contains("value")) return bad("value");
+        if (!op.contains("value")) return bad_request("value");
         if (op["value"].dump(-1, ' ', false, Json::error_handler_t::replace).size() > limits_.value_bytes)
-            return bad("a value is too large");
-        if (auto permit = wire::find(op, "permit")) {
-            if (!permit->is_number_unsigned() || !holds_.contains(permit->get<std::uint64_t>()))
+            return bad_request("a value is too large");
+        if (auto lease_id = wire::find(op, "permit")) {
+            if (!lease_id->is_number_unsigned() || !leases_.contains(lease_id->get<std::uint64_t>()))
                 return {400, {{"error", "no such lease"}}};
         }
     }
     Json failed = Json::array();
     for (const Json& c : conditions ? *conditions : Json::array()) {
         auto key = wire::text(c, "key");
-        auto mark = wire::count(c, "mark");
-        if (!key || !valid_key(*key) || !mark) return bad("condition");
-        if (mark_of(*key).value_or(0) != *mark) failed.push_back(*key);
+        auto revision = wire::count(c, "mark");
+        if (!key || !valid_key(*key) || !revision) return bad_request("condition");
+        if (revision_of(*key).value_or(0) != *revision) failed.push_back(*key);
     }
     if (!failed.empty()) return {409, {{"failed", std::move(failed)}, {"ledger", revision_}}};
     if (n == 0) return {200, {{"ledger", revision_}}};
@@ -134,103 +134,103 @@
     std::vector<Change> changes;
     auto set = db_.prepare("INSERT OR REPLACE INTO kv VALUES(?,?,?,?)");
     auto drop = db_.prepare("DELETE FROM kv WHERE key=?");
-    const auto mark = revision_ + 1;
+    const auto revision = revision_ + 1;
     for (const Json& op : *operations) {
         if (auto key = wire::text(op, "set")) {
-            set.text(*key).bind(wire::encode(op["value"])).bind(static_cast<std::int64_t>(mark));
-            if (auto permit = wire::count(op, "permit"))
-                set.bind(static_cast<std::int64_t>(*permit));
+            set.text(*key).bind(wire::encode(op["value"])).bind(static_cast<std::int64_t>(revision));
+            if (auto lease_id = wire::count(op, "permit"))
+                set.bind(static_cast<std::int64_t>(*lease_id));
             else
                 set.null();
             set.run();
-            changes.push_back({*key, op["value"], mark});
+            changes.push_back({*key, op["value"], revision});
         } else {
-            auto gone = *wire::text(op, "drop");
-            if (!mark_of(gone)) continue;
-            drop.text(gone).run();
-            changes.push_back({gone, std::nullopt, mark});
+            auto dropped_key = *wire::text(op, "drop");
+            if (!revision_of(dropped_key)) continue;
+            drop.text(dropped_key).run();
+            changes.push_back({dropped_key, std::nullopt, revision});
         }
     }
-    auto ledger = db_.prepare("UPDATE meta SET n=? WHERE name='ledger'");
-    ledger.bind(static_cast<std::int64_t>(mark)).run();
+    auto revision_row = db_.prepare("UPDATE meta SET n=? WHERE name='ledger'");
+    revision_row.bind(static_cast<std::int64_t>(revision)).run();
     txn.commit();
-    revision_ = mark;
-    for (auto& c : changes) log_.push_back(std::move(c));
-    while (log_.size() > limits_.kept_changes) {
-        oldest_since_ = log_.front().mark;
-        log_.pop_front();
+    revision_ = revision;
+    for (auto& c : changes) change_log_.push_back(std::move(c));
+    while (change_log_.size() > limits_.kept_changes) {
+        oldest_since_ = change_log_.front().revision;
+        change_log_.pop_front();
     }
     return {200, {{"ledger", revision_}}};
 }
 
 Answer StateStore::create_hold(const Json& body, TimePoint now) {
     auto ttl = wire::count(body, "ttl_ms");
-    if (!ttl || *ttl < 100 || *ttl > 600'000) return bad("ttl_ms");
+    if (!ttl || *ttl < 100 || *ttl > 600'000) return bad_request("ttl_ms");
     auto s = db_.prepare("INSERT INTO holds(ttl_ms) VALUES(?)");
     s.bind(static_cast<std::int64_t>(*ttl)).run();
     auto id = static_cast<std::uint64_t>(sqlite3_last_insert_rowid(db_.handle()));
     auto length = std::chrono::milliseconds(*ttl);
-    holds_[id] = {length, now + length};
+    leases_[id] = {length, now + length};
     return {200, {{"permit", id}}};
 }
 
 Answer StateStore::extend_hold(std::uint64_t id, TimePoint now) {
     expire(now);
-    auto it = holds_.find(id);
-    if (it == holds_.end()) return {404, {{"error", "no such lease"}}};
+    auto it = leases_.find(id);
+    if (it == leases_.end()) return {404, {{"error", "no such lease"}}};
     it->second.until = now + it->second.ttl;
     return {200, Json::object()};
 }
 
 Answer StateStore::end_hold(std::uint64_t id) {
-    if (!holds_.contains(id)) return {404, {{"error", "no such lease"}}};
-    end_holds({id});
+    if (!leases_.contains(id)) return {404, {{"error", "no such lease"}}};
+    revoke_leases({id});
     return {200, Json::object()};
 }
 
 bool StateStore::expire(TimePoint now) {
-    std::vector<std::uint64_t> over;
-    for (auto& [id, h] : holds_)
-        if (now >= h.until) over.push_back(id);
-    return !over.empty() && end_holds(over);
+    std::vector<std::uint64_t> expired;
+    for (auto& [id, lease] : leases_)
+        if (now >= lease.until) expired.push_back(id);
+    return !expired.empty() && revoke_leases(expired);
 }
 
-bool StateStore::end_holds(const std::vector<std::uint64_t>& ids) {
+bool StateStore::revoke_leases(const std::vector<std::uint64_t>& ids) {
     store::Transaction txn(db_);
     std::vector<Change> changes;
-    const auto mark = revision_ + 1;
+    const auto revision = revision_ + 1;
     for (auto id : ids) {
         auto keys = db_.prepare("SELECT key FROM kv WHERE permit=?");
         keys.bind(static_cast<std::int64_t>(id));
-        while (keys.step()) changes.push_back({keys.bytes(0), std::nullopt, mark});
+        while (keys.step()) changes.push_back({keys.bytes(0), std::nullopt, revision});
         auto drop = db_.prepare("DELETE FROM kv WHERE permit=?");
         drop.bind(static_cast<std::int64_t>(id)).run();
         auto end = db_.prepare("DELETE FROM holds WHERE id=?");
         end.bind(static_cast<std::int64_t>(id)).run();
     }
     if (!changes.empty()) {
-        auto ledger = db_.prepare("UPDATE meta SET n=? WHERE name='ledger'");
-        ledger.bind(static_cast<std::int64_t>(mark)).run();
+        auto revision_row = db_.prepare("UPDATE meta SET n=? WHERE name='ledger'");
+        revision_row.bind(static_cast<std::int64_t>(revision)).run();
     }
     txn.commit();
-    for (auto id : ids) holds_.erase(id);
+    for (auto id : ids) leases_.erase(id);
     if (changes.empty()) return false;
-    revision_ = mark;
-    for (auto& c : changes) log_.push_back(std::move(c));
+    revision_ = revision;
+    for (auto& c : changes) change_log_.push_back(std::move(c));
     return true;
 }
 
 std::optional<Answer> StateStore::changes(const std::string& prefix, std::uint64_t since) const {
     if (since < oldest_since_) return Answer{410, {{"error", "too old"}, {"ledger", revision_}}};
-    auto from = std::upper_bound(log_.begin(), log_.end(), since,
-                                 [](std::uint64_t s, const Change& c) { return s < c.mark; });
+    auto from = std::upper_bound(change_log_.begin(), change_log_.end(), since,
+                                 [](std::uint64_t s, const Change& c) { return s < c.revision; });
     Json events = Json::array();
-    for (auto it = from; it != log_.end(); ++it) {
+    for (auto it = from; it != change_log_.end(); ++it) {
         if (!it->key.starts_with(prefix)) continue;
         if (it->value)
-            events.push_back({{"set", it->key}, {"value", *it->value}, {"mark", it->mark}});
+            events.push_back({{"set", it->key}, {"value", *it->value}, {"mark", it->revision}});
         else
-            events.push_back({{"drop", it->key}, {"mark", it->mark}});
+            events.push_back({{"drop", it->key}, {"mark", it->revision}});
     }
     if (events.empty()) return std::nullopt;
     return Answer{200, {{"ledger", revision_}, {"events", std::move(events)}}};
--- a/src/lab/state_store.hpp
+++ b/src/lab/state_store.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// Stand-in for the state service: what PROTOCOL says of keys, versions, transactions, holds and watches, kept
-// in SQLite and synced before the answer. Calls take the time and do no network I/O.
+// The simulated state service: keys, versions, transactions, leases (`holds` in the protocol) and watches as
+// PROTOCOL specifies them, stored in SQLite and synced before the answer. The caller passes the current time;
+// no call does network I/O.
 #include <deque>
 #include <map>
 #include <optional>
@@ -27,7 +28,7 @@
 
 class StateStore {
   public:
-    // Every hold on file has its full time again, as after an outage.
+    // Opens the database. Every stored lease gets its full TTL again, as after an outage.
     StateStore(const std::string& path, StateLimits limits, TimePoint now);
     Answer get(const std::string& key);
     Answer list(const std::string& prefix, const std::string& after, std::size_t page);
@@ -35,16 +36,17 @@
     Answer create_hold(const Json& body, TimePoint now);
     Answer extend_hold(std::uint64_t id, TimePoint now);
     Answer end_hold(std::uint64_t id);
-    // Removes the keys of holds that ran out. True if anything changed.
+    // Removes expired leases and their keys. Returns true if a key was removed.
     bool expire(TimePoint now);
-    // During an outage none ends, and after it each has its full time.
+    // Gives every lease its full TTL. Called throughout an outage, so that no lease expires during it.
     void renew_holds(TimePoint now) {
-        for (auto& [id, h] : holds_) h.until = now + h.ttl;
+        for (auto& [id, lease] : leases_) lease.until = now + lease.ttl;
     }
-    // Changes under a prefix after a revision; nothing: none yet.
+    // Returns the changes under a prefix after a revision, 410 if the change log does not reach back that
+    // far, or nothing if there are no changes yet.
     std::optional<Answer> changes(const std::string& prefix, std::uint64_t since) const;
     std::uint64_t revision() const { return revision_; }
-    // Rates: whether one more request, with so many changes, is within them.
+    // Takes one request and `writes` changes from the rate limits. Returns false if a limit is exceeded.
     bool within_rates(double writes, TimePoint now);
     static bool valid_key(const std::string& key);
 
@@ -52,23 +54,23 @@
     struct Change {
         std::string key;
         std::optional<Json> value;
-        std::uint64_t mark;
+        std::uint64_t revision;
     };
     struct Bucket {
         double level;
         TimePoint last;
     };
-    bool end_holds(const std::vector<std::uint64_t>& ids);
-    std::optional<std::uint64_t> mark_of(const std::string& key);
+    bool revoke_leases(const std::vector<std::uint64_t>& ids);
+    std::optional<std::uint64_t> revision_of(const std::string& key);
     StateLimits limits_;
     store::Database db_;
     std::uint64_t revision_ = 0, oldest_since_ = 0, last_hold_ = 0;
-    struct Hold {
+    struct Lease {
         Clock::duration ttl;
         TimePoint until;
     };
-    std::map<std::uint64_t, Hold> holds_;
-    std::deque<Change> log_;
+    std::map<std::uint64_t, Lease> leases_;
+    std::deque<Change> change_log_;
     std::optional<Bucket> requests_, writes_;
 };
 
--- a/src/worker/agent.cpp
+++ b/src/worker/agent.cpp
@@ -9,45 +9,45 @@
 using net::http::verb;
 
 namespace {
-constexpr auto answer_within = 4s;
-constexpr auto next_after = 1s;
+constexpr auto heartbeat_reply_timeout = 4s;
+constexpr auto controller_retry_delay = 1s;
 }  // namespace
 
 WorkerSettings parse_worker_settings(const std::string& text) {
-    auto j = config::parse_validated(text, worker_schema);
-    WorkerSettings s;
-    s.name = j.at("name");
-    s.listen = j.at("listen");
-    s.announce = j.value("announce", s.listen);
-    s.type = j.at("type");
-    s.zone = j.at("zone");
-    s.spot = j.value("spot", false);
-    s.capacity = {j.at("cpus"), j.value("gpus", 0.0), j.at("mem_gb")};
-    s.times.heartbeat = secs(j.value("report_s", 3.0));
-    s.times.lease = secs(j.value("lease_s", 20.0));
-    s.times.gang_wait = secs(j.value("gang_wait_s", 30.0));
-    s.times.gang_peer = secs(j.value("gang_peer_s", 4.0));
-    for (auto& [name, address] : j.at("controllers").items()) {
+    auto json = config::parse_validated(text, worker_schema);
+    WorkerSettings settings;
+    settings.name = json.at("name");
+    settings.listen = json.at("listen");
+    settings.announce = json.value("announce", settings.listen);
+    settings.type = json.at("type");
+    settings.zone = json.at("zone");
+    settings.spot = json.value("spot", false);
+    settings.capacity = {json.at("cpus"), json.value("gpus", 0.0), json.at("mem_gb")};
+    settings.times.heartbeat = secs(json.value("report_s", 3.0));
+    settings.times.lease = secs(json.value("lease_s", 20.0));
+    settings.times.gang_wait = secs(json.value("gang_wait_s", 30.0));
+    settings.times.gang_peer = secs(json.value("gang_peer_s", 4.0));
+    for (auto& [name, address] : json.at("controllers").items()) {
         if (!net::parse_endpoint(address.get<std::string>()))
             throw config::ConfigError("[controllers][" + name + "]: expected an IP address and a port");
-        s.controllers[name] = address;
+        settings.controllers[name] = address;
     }
-    if (!net::parse_endpoint(s.listen))
+    if (!net::parse_endpoint(settings.listen))
         throw config::ConfigError("[listen]: expected an IP address and a port");
-    s.depot = j.at("depot");
-    s.state_dir = j.at("state_dir");
-    s.output_bytes = static_cast<std::uint64_t>(j.value("output_mb", 16.0) * 1024 * 1024);
-    return s;
+    settings.depot = json.at("depot");
+    settings.state_dir = json.at("state_dir");
+    settings.output_bytes = static_cast<std::uint64_t>(json.value("output_mb", 16.0) * 1024 * 1024);
+    return settings;
 }
 
-// Sessions grow over the ends of this process too: a higher one tells the controllers that nothing of an
-// earlier one is left, so what an earlier worker left must have ended before the number is used.
-std::uint64_t Agent::next_agent_epoch(const WorkerSettings& s) {
-    std::filesystem::create_directories(s.state_dir);
-    auto left = proc::end_marked(s.state_dir);
-    if (left) spdlog::warn("{} processes of an earlier worker were ended", left);
+// Agent epochs increase across restarts of this process. A higher epoch tells the controllers that no process
+// of an earlier epoch is running, so the processes left by an earlier worker must end before it is used.
+std::uint64_t Agent::next_agent_epoch(const WorkerSettings& settings) {
+    std::filesystem::create_directories(settings.state_dir);
+    auto remaining = proc::end_marked(settings.state_dir);
+    if (remaining) spdlog::warn("agent: killed {} processes left by an earlier worker", remaining);
     std::uint64_t last = 0;
-    if (auto text = depot::read_all(std::filesystem::path(s.state_dir) / "session"))
+    if (auto text = depot::read_all(std::filesystem::path(settings.state_dir) / "session"))
         last = std::strtoull(text->c_str(), nullptr, 10);
     return last + 1;
 }
@@ -61,46 +61,46 @@
       machine_(settings_.name, settings_.announce, settings_.type, settings_.zone, settings_.spot,
                settings_.capacity, settings_.times, agent_epoch_, Clock::now()),
       wake_(io) {
-    keep_session();
-    ExecutorSettings e{settings_.name, settings_.state_dir, settings_.times.gang_peer,
-                       settings_.output_bytes};
-    executor_ =
-        std::make_shared<Executor>(io, machine_, depot::Depot(settings_.depot), e, [this] { changed(); });
+    persist_agent_epoch();
+    ExecutorSettings executor_settings{settings_.name, settings_.state_dir, settings_.times.gang_peer,
+                                       settings_.output_bytes};
+    executor_ = std::make_shared<Executor>(io, machine_, depot::Depot(settings_.depot), executor_settings,
+                                           [this] { handle_state_change(); });
 }
 
-void Agent::keep_session() {
+void Agent::persist_agent_epoch() {
     depot::write_whole(std::filesystem::path(settings_.state_dir) / "session", std::to_string(agent_epoch_));
 }
 
 void Agent::start() {
     server_.listen(settings_.listen);
-    auto ended = [](const char* what) {
-        return [what](std::exception_ptr e) {
+    auto exit_on_error = [](const char* component) {
+        return [component](std::exception_ptr failure) {
             try {
-                if (e) std::rethrow_exception(e);
+                if (failure) std::rethrow_exception(failure);
             } catch (const std::exception& err) {
-                spdlog::critical("{} ended: {}", what, err.what());
+                spdlog::critical("agent: the {} failed: {}; exiting", component, err.what());
                 std::exit(1);
             }
         };
     };
     net::asio::co_spawn(io_, server_.serve([this](net::Request r) { return route(std::move(r)); }),
-                        ended("the server"));
-    net::asio::co_spawn(io_, heartbeat_loop(), ended("the heartbeats"));
-    net::asio::co_spawn(io_, tick_loop(), ended("the ticks"));
-    net::asio::co_spawn(io_, notice_loop(), ended("the notices"));
+                        exit_on_error("HTTP server"));
+    net::asio::co_spawn(io_, heartbeat_loop(), exit_on_error("heartbeat loop"));
+    net::asio::co_spawn(io_, tick_loop(), exit_on_error("tick loop"));
+    net::asio::co_spawn(io_, recall_notice_loop(), exit_on_error("recall notice loop"));
 }
 
 void Agent::stop() {
     executor_->stop();
 }
 
-void Agent::changed() {
+void Agent::handle_state_change() {
     executor_->act();
     if (machine_.agent_epoch() != agent_epoch_) {
-        spdlog::warn("the lease has expired: agent epoch {} begins", machine_.agent_epoch());
+        spdlog::warn("agent: the lease has expired; starting agent epoch {}", machine_.agent_epoch());
         agent_epoch_ = machine_.agent_epoch();
-        keep_session();
+        persist_agent_epoch();
     }
     wake_.wake();
 }
@@ -109,23 +109,24 @@
     for (;;) {
         machine_.tick(Clock::now());
         executor_->act();
-        if (machine_.agent_epoch() != agent_epoch_) changed();
+        if (machine_.agent_epoch() != agent_epoch_) handle_state_change();
         co_await net::sleep_for(50ms);
     }
 }
 
-// The cloud's notice: a file `recall` in this worker's directory that holds the seconds left, as whatever
-// reads the cloud's own signal on the machine writes it.
-Task<> Agent::notice_loop() {
+// Polls for the cloud's recall notice: the file `recall` in the worker's state directory, which holds the
+// seconds until the machine is taken back. A program on the machine that watches the cloud's own signal
+// writes the file.
+Task<> Agent::recall_notice_loop() {
     const auto file = std::filesystem::path(settings_.state_dir) / "recall";
     std::optional<TimePoint> until;
     for (;;) {
-        std::error_code ec;
-        if (!until && std::filesystem::exists(file, ec)) {
+        std::error_code error;
+        if (!until && std::filesystem::exists(file, error)) {
             auto text = depot::read_all(file).value_or("0");
             until = Clock::now() + secs(std::max(0.0, std::strtod(text.c_str(), nullptr)));
-            spdlog::warn("the cloud takes this machine back in {} s", text);
-        } else if (until && !std::filesystem::exists(file, ec)) {
+            spdlog::warn("machine: recalled by the cloud; it is taken back in {} s", text);
+        } else if (until && !std::filesystem::exists(file, error)) {
             until.reset();
         }
         machine_.notice(until);
@@ -135,10 +136,10 @@
 }
 
 Task<> Agent::heartbeat_loop() {
-    std::vector<std::pair<std::string, std::string>> nodes(settings_.controllers.begin(),
-                                                           settings_.controllers.end());
-    std::size_t at = std::hash<std::string>{}(settings_.name) % nodes.size();
-    net::Reach reach("every controller");
+    std::vector<std::pair<std::string, std::string>> controllers(settings_.controllers.begin(),
+                                                                 settings_.controllers.end());
+    std::size_t current = std::hash<std::string>{}(settings_.name) % controllers.size();
+    net::Reach reachability("every controller");
     for (;;) {
         auto now = Clock::now();
         auto due = machine_.report_due(now);
@@ -147,7 +148,7 @@
             continue;
         }
         machine_.tick(now);
-        changed();
+        handle_state_change();
         if (machine_.ending()) {
             co_await net::sleep_for(10ms);
             continue;
@@ -155,37 +156,39 @@
         auto agent_epoch = machine_.agent_epoch();
         auto heartbeat = machine_.heartbeat(now);
         machine_.reported(now);
-        auto reply = co_await client_.call(nodes[at].second, verb::post, "/hello",
-                                           wire::worker_heartbeat_json(heartbeat), answer_within);
-        auto after = Clock::now();
-        if (auto line = reach.note(reply.status == 200 || reply.status == 421, after))
-            spdlog::warn("{}", *line);
+        auto reply = co_await client_.call(controllers[current].second, verb::post, "/hello",
+                                           wire::worker_heartbeat_json(heartbeat), heartbeat_reply_timeout);
+        auto reply_time = Clock::now();
+        if (auto message = reachability.note(reply.status == 200 || reply.status == 421, reply_time))
+            spdlog::warn("{}", *message);
         if (reply.status == 200) {
             auto commands = wire::parse_commands(reply.body);
             if (commands && !reply.garbage)
-                machine_.answered(wire::parse_fencing_token(reply.body), agent_epoch, *commands, now, after);
-            changed();
+                machine_.answered(wire::parse_fencing_token(reply.body), agent_epoch, *commands, now,
+                                  reply_time);
+            handle_state_change();
             continue;
         }
-        auto next = (at + 1) % nodes.size();
+        auto next = (current + 1) % controllers.size();
         if (reply.status == 421) {
             auto leader = wire::parse_redirect(reply.body);
-            for (std::size_t i = 0; leader && i < nodes.size(); ++i)
-                if (nodes[i].first == *leader && i != at) {
-                    client_.forget(nodes[at].second);
-                    at = i;
+            for (std::size_t i = 0; leader && i < controllers.size(); ++i)
+                if (controllers[i].first == *leader && i != current) {
+                    client_.forget(controllers[current].second);
+                    current = i;
                     leader.reset();
-                    next = nodes.size();
+                    next = controllers.size();
                 }
-            if (next == nodes.size()) {
-                // At once. What was not heard is said again there.
+            if (next == controllers.size()) {
+                // The leader is known, so the heartbeat is sent there without the retry delay. It repeats the
+                // state that the other controller did not accept.
                 co_await net::sleep_for(1ms);
                 machine_.reported(TimePoint{});
                 continue;
             }
         }
-        at = next;
-        co_await net::sleep_for(next_after);
+        current = next;
+        co_await net::sleep_for(controller_retry_delay);
         machine_.reported(TimePoint{});
     }
 }
@@ -207,9 +210,10 @@
     if (!fencing_token || !agent_epoch || !commands)
         co_return net::Response{400, {{"error", "baton, shift or orders"}}};
     bool executed = machine_.commanded(*fencing_token, *agent_epoch, *commands, now);
-    changed();
+    handle_state_change();
     if (!executed && machine_.ending()) co_return net::Response{503, {{"error", "between two sessions"}}, 1};
-    // A description is there within a moment: the answer should tell of a start rather than of a fetch.
+    // A task description is usually read within milliseconds. Waiting up to 20 ms lets the answer report the
+    // started task instead of one that is still fetching its description.
     for (int i = 0; executed && i < 20 && machine_.fetching(); ++i) co_await net::sleep_for(1ms);
     auto heartbeat = machine_.heartbeat(Clock::now());
     if (executed && !machine_.fetching()) machine_.told();
--- a/src/worker/agent.hpp
+++ b/src/worker/agent.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The worker as a whole: sends heartbeats to one controller at a time, takes commands, and lets the executor
-// act.
+// The worker agent: sends heartbeats to one controller at a time, accepts commands, and has the executor
+// carry out the resulting actions.
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
 #include "worker/executor.hpp"
@@ -12,17 +12,17 @@
     bool spot = false;
     wire::Resources capacity;
     Times times;
-    std::map<std::string, std::string> controllers;  // name -> address
+    std::map<std::string, std::string> controllers;  // controller name to address
     std::string depot, state_dir;
     std::uint64_t output_bytes = 16 << 20;
 };
-// Throws config::ConfigError.
+// Parses and validates the settings file. Throws config::ConfigError.
 WorkerSettings parse_worker_settings(const std::string& text);
 
 class Agent {
   public:
-    // Ends what an earlier worker of this machine left running, and begins a new agent epoch. Throws if it
-    // can't.
+    // Kills the processes that an earlier worker of this machine left running, and starts a new agent epoch.
+    // Throws if the processes do not end or the epoch cannot be stored.
     Agent(net::asio::io_context& io, WorkerSettings settings);
     void start();
     void stop();
@@ -30,11 +30,11 @@
   private:
     Task<> heartbeat_loop();
     Task<> tick_loop();
-    Task<> notice_loop();
+    Task<> recall_notice_loop();
     Task<net::Response> route(net::Request request);
-    void changed();
-    void keep_session();
-    static std::uint64_t next_agent_epoch(const WorkerSettings& s);
+    void handle_state_change();
+    void persist_agent_epoch();
+    static std::uint64_t next_agent_epoch(const WorkerSettings& settings);
 
     net::asio::io_context& io_;
     WorkerSettings settings_;
--- a/src/worker/machine.hpp
+++ b/src/worker/machine.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// The worker's side of the protocol between workers and controllers, as plain decisions: commands, tokens,
-// sessions, leases, and the states of the tasks on this machine. No I/O, no clock of its own: state + event +
-// time -> actions.
+// The worker's side of the protocol between workers and controllers, as a state machine: commands, fencing
+// tokens, agent epochs, the lease, and the states of the tasks on this machine. It does no I/O and reads no
+// clock: events and the current time are passed in, and actions come out.
 #include <chrono>
 #include <functional>
 #include <map>
@@ -22,17 +22,17 @@
 struct Times {
     Clock::duration heartbeat = std::chrono::seconds(3), lease = std::chrono::seconds(20),
                     gang_wait = std::chrono::seconds(30), gang_peer = std::chrono::seconds(4),
-                    least_between = std::chrono::milliseconds(500);
+                    least_between = std::chrono::milliseconds(500);  // minimum interval between heartbeats
 };
 
-// What the I/O around this is to do.
+// An action for the executor.
 struct Action {
     enum Kind {
-        fetch,  // read the task's description: answered by fetched()
-        meet,   // wait for the other tasks of its gang: answered by met()
-        run,    // start its steps: answered by exited()
-        term,   // ask it to save; it has `grace`
-        kill,   // end it at once: answered by exited()
+        fetch,  // read the task's description; completed by fetched()
+        meet,   // wait for the other tasks of the gang; completed by met()
+        run,    // run the steps of the task; completed by exited()
+        term,   // ask the task to save a checkpoint within `grace`
+        kill,   // kill the task immediately; completed by exited()
     } kind;
     Attempt attempt;
     Clock::duration grace{};
@@ -43,50 +43,54 @@
     Machine(std::string name, std::string address, std::string type, std::string zone, bool spot,
             wire::Resources capacity, Times times, std::uint64_t agent_epoch, TimePoint now);
 
-    // ---- commands. Executed in order, and only with a fitting token and agent epoch.
-    // The answer to a heartbeat of this agent epoch, sent at `sent`. False: dropped, for a lower token or
-    // none.
+    // ---- Commands. They are executed in order, and only with a current fencing token and agent epoch.
+    // Handles the answer to a heartbeat that was sent at `sent`, and renews the lease from that time. Returns
+    // false if the answer is dropped: its fencing token is lower or missing, its agent epoch is another one,
+    // or the lease has expired.
     bool answered(std::optional<std::uint64_t> fencing_token, std::uint64_t agent_epoch,
                   const std::vector<wire::Command>& commands, TimePoint sent, TimePoint now);
-    // Direct commands: they do not renew the lease. False: 409.
+    // Handles commands that a controller sends directly; they do not renew the lease. Returns false if they
+    // are refused: the HTTP answer is then 409, or 503 between two agent epochs.
     bool commanded(std::uint64_t fencing_token, std::uint64_t agent_epoch,
                    const std::vector<wire::Command>& commands, TimePoint now);
 
-    // ---- what became of actions; for attempts forgotten meanwhile they change nothing.
-    void fetched(const Attempt& a, const wire::JobSpec* spec, TimePoint now);  // null: no such job
-    void met(const Attempt& a);
-    void peer_lost(const Attempt& a);
-    void exited(const Attempt& a, bool done, bool saved);
+    // ---- Results of actions. Results for attempts that have been removed meanwhile are ignored.
+    // `spec` is null if there is no such job.
+    void fetched(const Attempt& attempt, const wire::JobSpec* spec, TimePoint now);
+    void met(const Attempt& attempt);
+    void peer_lost(const Attempt& attempt);
+    void exited(const Attempt& attempt, bool done, bool saved);
     void notice(std::optional<TimePoint> recall);
 
-    // Time passing: the lease, the end of grace, gangs that are not complete in time.
+    // Handles the timeouts: expiry of the lease, of grace periods, and of the wait for a complete gang.
     void tick(TimePoint now);
-    // While a process of an agent epoch that is over is still there, the new agent epoch does not begin.
-    bool ending() const { return !dying_.empty(); }
-    // Whether the attempt may still decide its task's result: it is of this agent epoch, its lease is alive
-    // and nobody has stopped it.
-    bool may_publish(const Attempt& a, TimePoint now) const;
+    // Whether processes of an expired agent epoch are still running. The worker sends no heartbeat and
+    // refuses commands until they have exited.
+    bool ending() const { return !terminating_.empty(); }
+    // Whether the attempt may record its task's final result: it belongs to this agent epoch, the lease is
+    // valid, and no stop or kill is pending for it.
+    bool may_publish(const Attempt& attempt, TimePoint now) const;
 
-    bool waits(const Attempt& a) const {  // for the other tasks of its gang
-        auto it = tasks_.find(a);
+    // Whether the attempt waits for the other tasks of its gang.
+    bool waits(const Attempt& attempt) const {
+        auto it = tasks_.find(attempt);
         return it != tasks_.end() && it->second.state == TaskState::waiting;
     }
 
-    wire::WorkerHeartbeat heartbeat(TimePoint now);  // counts it
-    // When the next heartbeat is due.
+    wire::WorkerHeartbeat heartbeat(TimePoint now);  // increments the sequence number
+    // The time at which the next heartbeat is due.
     TimePoint report_due(TimePoint now) const;
     void reported(TimePoint sent);
-    // What has changed so far stands in the answer to a command, which is a heartbeat as well: it needs no
-    // other. Should that answer be lost, the next regular heartbeat tells it. Otherwise each start would use
-    // up the half second that must lie between heartbeats, and the end of a short task would wait for the
-    // next.
-    void told() { has_change_ = false; }
-    bool fetching() const;  // some task's description is being read
+    // Marks all changes as reported by the answer to a command, which carries a heartbeat. If that answer is
+    // lost, the next regular heartbeat reports them. An extra heartbeat at each start would use up the
+    // minimum interval of half a second between heartbeats, and delay the report of a short task's end.
+    void told() { has_unreported_change_ = false; }
+    bool fetching() const;  // whether a task description is being read
     std::vector<Action> take_actions() { return std::exchange(actions_, {}); }
 
     std::uint64_t agent_epoch() const { return agent_epoch_; }
     std::uint64_t fencing_token() const { return fencing_token_; }
-    TimePoint lease_end() const { return renewed_ + times_.lease; }
+    TimePoint lease_end() const { return lease_renewed_at_ + times_.lease; }
     const Times& times() const { return times_; }
 
   private:
@@ -94,18 +98,18 @@
         TaskState state = TaskState::fetching;
         Cause cause = Cause::none;
         bool saved = false, stopping = false, killed = false;
-        bool started = false;  // it has processes
+        bool started = false;  // processes of the task have been started
         std::optional<wire::JobSpec> spec;
         std::optional<TimePoint> wait_until, save_until;
-        Cause when_gone = Cause::none;  // why it is being ended
+        Cause exit_cause = Cause::none;  // cause to report once the task has exited; set when it is stopped
     };
     void execute(const std::vector<wire::Command>& commands, TimePoint now);
-    void launch(const Attempt& a);
-    void stop(const Attempt& a, Task& t, Clock::duration grace, TimePoint now);
-    void end(Task& t, Cause cause);
-    void kill(const Attempt& a, Task& t, Cause cause);
-    void learn(std::uint64_t fencing_token, TimePoint now);
-    void changed() { has_change_ = true; }
+    void launch(const Attempt& attempt);
+    void stop(const Attempt& attempt, Task& task, Clock::duration grace, TimePoint now);
+    void mark_exited(Task& task, Cause cause);
+    void kill(const Attempt& attempt, Task& task, Cause cause);
+    void update_fencing_token(std::uint64_t fencing_token, TimePoint now);
+    void mark_changed() { has_unreported_change_ = true; }
     void expire(TimePoint now);
 
     std::string name_, address_, type_, zone_;
@@ -113,11 +117,11 @@
     wire::Resources capacity_;
     Times times_;
     std::uint64_t agent_epoch_, seq_ = 0, fencing_token_ = 0;
-    TimePoint renewed_, last_sent_{}, fencing_token_change_{};
-    bool has_change_ = true;
-    std::optional<TimePoint> recall_;
+    TimePoint lease_renewed_at_, last_sent_{}, fencing_token_change_{};
+    bool has_unreported_change_ = true;
+    std::optional<TimePoint> recall_at_;
     std::map<Attempt, Task> tasks_;
-    std::map<Attempt, bool> dying_;  // of sessions that are over: processes not gone yet
+    std::map<Attempt, bool> terminating_;  // attempts of expired agent epochs whose processes are running
     std::vector<Action> actions_;
 };
 
--- a/src/worker/process.cpp
+++ b/src/worker/process.cpp
@@ -10,19 +10,19 @@
 
 namespace barrowrun::worker {
 
-Process::Process(net::asio::io_context& io, proc::Spawn what) : pidfd_(io), out_(io) {
-    int ends[2];
-    if (::pipe2(ends, O_CLOEXEC) != 0) throw std::system_error(errno, std::generic_category(), "pipe");
-    out_.assign(ends[0]);
-    ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
-    what.output = ends[1];
+Process::Process(net::asio::io_context& io, proc::Spawn command) : pidfd_(io), output_(io) {
+    int pipe_ends[2];
+    if (::pipe2(pipe_ends, O_CLOEXEC) != 0) throw std::system_error(errno, std::generic_category(), "pipe");
+    output_.assign(pipe_ends[0]);
+    ::fcntl(pipe_ends[0], F_SETFL, O_NONBLOCK);
+    command.output = pipe_ends[1];
     try {
-        pid_ = proc::spawn(what);
+        pid_ = proc::spawn(command);
     } catch (...) {
-        ::close(ends[1]);
+        ::close(pipe_ends[1]);
         throw;
     }
-    ::close(ends[1]);
+    ::close(pipe_ends[1]);
     try {
         pidfd_.assign(proc::watch(pid_));
     } catch (...) {
@@ -44,7 +44,7 @@
 
 Task<int> Process::wait(std::function<void(const char*, std::size_t)> output) {
     using namespace net::asio::experimental::awaitable_operators;
-    std::vector<char> part(65536);
+    std::vector<char> buffer(65536);
     auto ended = [this]() -> Task<> {
         while (!proc::ended(pidfd_.native_handle()))
             co_await pidfd_.async_wait(net::asio::posix::descriptor_base::wait_read,
@@ -52,30 +52,30 @@
     };
     auto read = [&]() -> Task<> {
         for (;;) {
-            boost::system::error_code ec;
-            co_await out_.async_wait(net::asio::posix::descriptor_base::wait_read,
-                                     net::asio::redirect_error(net::asio::use_awaitable, ec));
-            if (ec) co_return;
-            // One portion at a time: a command that writes without end must not keep heartbeats from going
-            // out.
-            auto n = ::read(out_.native_handle(), part.data(), part.size());
-            if (n > 0)
-                output(part.data(), static_cast<std::size_t>(n));
-            else if (n == 0)
+            boost::system::error_code error;
+            co_await output_.async_wait(net::asio::posix::descriptor_base::wait_read,
+                                        net::asio::redirect_error(net::asio::use_awaitable, error));
+            if (error) co_return;
+            // One read per wait: a command that writes without pause must not keep the event loop from
+            // sending heartbeats.
+            auto bytes_read = ::read(output_.native_handle(), buffer.data(), buffer.size());
+            if (bytes_read > 0)
+                output(buffer.data(), static_cast<std::size_t>(bytes_read));
+            else if (bytes_read == 0)
                 break;
         }
         co_await ended();
     };
-    // The end of the process counts: something in the background may hold its output open.
+    // The wait ends with the process, not with its output: a background child may hold the pipe open.
     co_await (ended() || read());
-    // The group may only be ended before its leader is reaped: until then its number is not given away again.
+    // The group is killed before its leader is reaped, because the process group ID may be reused afterwards.
     ::kill(-pid_, SIGKILL);
     auto status = proc::reap(pid_);
     reaped_ = true;
     for (;;) {
-        auto n = ::read(out_.native_handle(), part.data(), part.size());
-        if (n <= 0) break;
-        output(part.data(), static_cast<std::size_t>(n));
+        auto bytes_read = ::read(output_.native_handle(), buffer.data(), buffer.size());
+        if (bytes_read <= 0) break;
+        output(buffer.data(), static_cast<std::size_t>(bytes_read));
     }
     co_return status;
 }
--- a/src/worker/process.hpp
+++ b/src/worker/process.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A command as a child process in a process group of its own, its output captured.
+// Runs a command as a child process in its own process group and captures its output.
 #include <functional>
 
 #include "net/duties.hpp"
@@ -11,20 +11,21 @@
 
 class Process {
   public:
-    // `what.output` is set here. Throws std::system_error if there can be no child.
-    Process(net::asio::io_context& io, proc::Spawn what);
+    // Sets `command.output` to the pipe that captures the output. Throws std::system_error if the child
+    // process cannot be started.
+    Process(net::asio::io_context& io, proc::Spawn command);
     ~Process();
     Process(const Process&) = delete;
     Process& operator=(const Process&) = delete;
-    // Hands on what it writes, until it ends; then the rest of its group is ended too. Gives the exit status,
-    // or the signal's number, negative.
+    // Passes the output to the callback until the process ends, then kills the rest of its process group.
+    // Returns the exit status, or the negated signal number.
     Task<int> wait(std::function<void(const char*, std::size_t)> output);
-    void signal(int number) const;  // to the whole group
+    void signal(int number) const;  // sent to the whole process group
 
   private:
     pid_t pid_ = -1;
     bool reaped_ = false;
-    net::asio::posix::stream_descriptor pidfd_, out_;
+    net::asio::posix::stream_descriptor pidfd_, output_;
 };
 
 }  // namespace barrowrun::worker
--- a/src/worker/stage.hpp
+++ b/src/worker/stage.hpp
@@ -1,11 +1,13 @@
 #pragma once
-// The private directory of an attempt: it shows the working directory by links, and what the steps make in it
-// is moved into place only after a success. Nothing half-written ever stands under a name that others read.
+// The private directory of an attempt. It mirrors the working directory with links, and files that the steps
+// create in it are moved into the working directory only after a success, so other tasks never read partly
+// written files.
 //
-// How it looks: directories on the way to an output or an input are real ones; inputs are hard links, so that
-// archivers see files; an output that exists is a copy, so that steps may append to it; all else is a
-// symbolic link. What steps write outside of it, by absolute names, by `..` or into a linked directory,
-// happens at once; of these, declared outputs that a failed attempt changed are removed.
+// Layout: the parent directories of outputs and inputs are real directories; inputs are hard links, so that
+// archivers see regular files; existing outputs are copies, so that steps may append to them; every other
+// entry is a symbolic link. Writes outside the private directory, through absolute paths, `..` or a linked
+// directory, take effect immediately; declared outputs among them are removed if a failed attempt changed
+// them.
 #include <map>
 #include <set>
 
@@ -17,39 +19,44 @@
 
 class Stage {
   public:
-    // `dir`/.barrowrun/stage/<job>.<index>.<try>
-    Stage(const depot::Description& what, const wire::Attempt& attempt);
-    // Undoes what earlier attempts of the task left half-written outside, and builds the view. Their private
-    // directories stay until the task's final answer is settled: one that was taken for dead may still be the
-    // one that decides it. Throws depot::FileError.
+    // The private directory is `dir`/.barrowrun/stage/<job>.<index>.<try>, where `dir` is the working
+    // directory.
+    Stage(const depot::Description& description, const wire::Attempt& attempt);
+    // Removes outside outputs that earlier attempts of the task left partly written, and creates the mirror.
+    // The private directories of earlier attempts stay until the task's final result is settled, because an
+    // attempt that was presumed dead may still be the one that records it. Throws depot::FileError.
     void prepare();
-    // Where the steps run.
+    // The directory in which the steps run.
     const fs::path& work() const { return work_; }
     const fs::path& root() const { return root_; }
-    // After a success: what is to be published, hashed and synced. Throws std::runtime_error with one line if
-    // an output that must exist is missing.
+    // After a success: lists the outputs to publish, hashed and synced to disk. Throws std::runtime_error
+    // with a message of one line if a required output is missing or would replace a directory by a file.
     depot::Final collect(std::uint64_t attempt, const std::string& machine);
-    // After anything else: changed outputs outside are removed, and the log of a failure is kept.
+    // After a failed or stopped attempt: removes changed outside outputs, moves the declared logs into the
+    // working directory, and removes the private directory.
     void abandon();
 
   private:
-    struct Seen {
-        enum Kind { link, hard, copy, directory } kind;
+    // How an entry of the working directory was mirrored.
+    struct MirroredEntry {
+        enum Kind { symlink, hard_link, copy, directory } kind;
         ino_t inode = 0;
         std::int64_t mtime_ns = 0;
         std::uintmax_t size = 0;
     };
-    void mirror(const fs::path& rel);
-    void walk(const fs::path& rel, depot::Final& out, std::map<fs::path, fs::path>& moved);
-    void publish(const fs::path& rel, depot::Final& out);
-    bool inside(const std::string& path) const;
-    static void undo_outside(const fs::path& stage);
+    void mirror_directory(const fs::path& relative_path);
+    void collect_changes(const fs::path& relative_path, depot::Final& final,
+                         std::map<fs::path, fs::path>& moved);
+    void add_output(const fs::path& relative_path, depot::Final& final);
+    bool is_in_working_directory(const std::string& name) const;
+    static void remove_changed_outside_outputs(const fs::path& stage);
 
-    const depot::Description& what_;
+    const depot::Description& description_;
     wire::TaskId task_;
     fs::path dir_, root_, work_;
-    std::set<fs::path> spine_, outputs_, inputs_, whole_;
-    std::map<fs::path, Seen> seen_;
+    std::set<fs::path> parents_, outputs_, inputs_;
+    std::set<fs::path> directory_outputs_;  // published as whole directories
+    std::map<fs::path, MirroredEntry> mirrored_;
 };
 
 }  // namespace barrowrun::worker
