--- a/tests/stage_test.cpp
+++ b/tests/stage_test.cpp
@@ -1,4 +1,5 @@
-// Private directories and final answers: what may be seen of an attempt, and when.
+// Tests the private directories of attempts and the final results of tasks: when an attempt's files become
+// visible in the working directory.
 #include "worker/stage.hpp"
 
 #include <gtest/gtest.h>
@@ -14,21 +15,21 @@
 
 namespace {
 
-struct Place {
+struct StageTest {
     TempDir dir, shared;
     Depot depot{shared.path};
-    depot::Description what;
-    Place() {
-        what.dir = dir.str();
-        what.in_private = true;
-        what.spec.id = "wk-1";
+    depot::Description description;
+    StageTest() {
+        description.dir = dir.str();
+        description.in_private = true;
+        description.spec.id = "wk-1";
     }
-    static wire::Attempt attempt(std::uint64_t n) { return {{"wk-1", 0}, n}; }
-    void in(const Stage& s, const std::string& command) {
-        ASSERT_EQ(std::system(("cd '" + s.work().string() + "' && " + command).c_str()), 0) << command;
+    static wire::Attempt attempt(std::uint64_t number) { return {{"wk-1", 0}, number}; }
+    void run_in(const Stage& stage, const std::string& command) {
+        ASSERT_EQ(std::system(("cd '" + stage.work().string() + "' && " + command).c_str()), 0) << command;
     }
-    void publish(Stage& s, std::uint64_t n) {
-        auto final = s.collect(n, "n-1");
+    void publish(Stage& stage, std::uint64_t attempt_number) {
+        auto final = stage.collect(attempt_number, "n-1");
         ASSERT_TRUE(depot.decide({"wk-1", 0}, final));
         depot.settle({"wk-1", 0}, final);
     }
@@ -36,186 +37,187 @@
 
 }  // namespace
 
-TEST(Stage, NothingIsSeenBeforeItIsPublishedAndThenAllOfIt) {
-    Place p;
-    p.dir.write("in", "input\n");
-    p.dir.write("other/file", "other\n");
-    p.what.inputs = {"in"};
-    p.what.outputs = {"out/a", "out/b"};
-    fs::create_directories(p.dir.path / "out");
-    Stage s(p.what, Place::attempt(1));
-    s.prepare();
-    p.in(s, "cat in other/file > out/a; echo b > out/b; mkdir -p out/side; echo s > out/side/x");
-    EXPECT_FALSE(p.dir.has("out/a"));
-    p.publish(s, 1);
-    EXPECT_EQ(p.dir.read("out/a"), "input\nother\n");
-    EXPECT_EQ(p.dir.read("out/b"), "b\n");
-    EXPECT_EQ(p.dir.read("out/side/x"), "s\n");
-    EXPECT_EQ(p.dir.read("in"), "input\n");
+TEST(Stage, OutputsBecomeVisibleOnlyWhenTheyArePublished) {
+    StageTest test;
+    test.dir.write("in", "input\n");
+    test.dir.write("other/file", "other\n");
+    test.description.inputs = {"in"};
+    test.description.outputs = {"out/a", "out/b"};
+    fs::create_directories(test.dir.path / "out");
+    Stage stage(test.description, StageTest::attempt(1));
+    stage.prepare();
+    test.run_in(stage, "cat in other/file > out/a; echo b > out/b; mkdir -p out/side; echo s > out/side/x");
+    EXPECT_FALSE(test.dir.has("out/a"));
+    test.publish(stage, 1);
+    EXPECT_EQ(test.dir.read("out/a"), "input\nother\n");
+    EXPECT_EQ(test.dir.read("out/b"), "b\n");
+    EXPECT_EQ(test.dir.read("out/side/x"), "s\n");
+    EXPECT_EQ(test.dir.read("in"), "input\n");
 }
 
-TEST(Stage, ACrashBetweenTwoRenamesIsCompletedByWhoeverComesNext) {
-    Place p;
-    p.what.outputs = {"a", "b"};
-    Stage s(p.what, Place::attempt(1));
-    s.prepare();
-    p.in(s, "echo A > a; echo B > b");
-    auto final = s.collect(1, "n-1");
-    ASSERT_TRUE(p.depot.decide({"wk-1", 0}, final));
-    // The first rename happens, then the machine is lost.
+TEST(Stage, PublishingInterruptedBetweenTwoRenamesIsCompletedByTheNextAttempt) {
+    StageTest test;
+    test.description.outputs = {"a", "b"};
+    Stage stage(test.description, StageTest::attempt(1));
+    stage.prepare();
+    test.run_in(stage, "echo A > a; echo B > b");
+    auto final = stage.collect(1, "n-1");
+    ASSERT_TRUE(test.depot.decide({"wk-1", 0}, final));
+    // The machine is lost after the first of two renames.
     fs::rename(final.outputs[0].staged, final.outputs[0].path);
-    EXPECT_FALSE(p.depot.settled({"wk-1", 0}));
-    // A successor finds the decision and finishes it; doing so again changes nothing.
-    for (int i = 0; i < 2; ++i) p.depot.settle({"wk-1", 0}, p.depot.final({"wk-1", 0}).value());
-    EXPECT_EQ(p.dir.read("a"), "A\n");
-    EXPECT_EQ(p.dir.read("b"), "B\n");
-    EXPECT_TRUE(p.depot.settled({"wk-1", 0}));
+    EXPECT_FALSE(test.depot.settled({"wk-1", 0}));
+    // The next attempt finds the recorded result and completes the renames; settling again changes nothing.
+    for (int i = 0; i < 2; ++i) test.depot.settle({"wk-1", 0}, test.depot.final({"wk-1", 0}).value());
+    EXPECT_EQ(test.dir.read("a"), "A\n");
+    EXPECT_EQ(test.dir.read("b"), "B\n");
+    EXPECT_TRUE(test.depot.settled({"wk-1", 0}));
 }
 
-TEST(Stage, TheFirstDecisionStands) {
-    Place p;
-    p.what.outputs = {"a"};
-    Stage first(p.what, Place::attempt(1)), second(p.what, Place::attempt(2));
+TEST(Stage, FirstRecordedResultIsFinal) {
+    StageTest test;
+    test.description.outputs = {"a"};
+    Stage first(test.description, StageTest::attempt(1)), second(test.description, StageTest::attempt(2));
     first.prepare();
     second.prepare();
-    p.in(first, "echo first > a");
-    p.in(second, "echo second > a");
-    p.publish(second, 2);
-    // The first was taken for dead; it goes on, and comes too late.
-    EXPECT_FALSE(p.depot.decide({"wk-1", 0}, first.collect(1, "n-1")));
-    EXPECT_EQ(p.depot.final({"wk-1", 0})->attempt, 2u);
-    EXPECT_EQ(p.dir.read("a"), "second\n");
+    test.run_in(first, "echo first > a");
+    test.run_in(second, "echo second > a");
+    test.publish(second, 2);
+    // The first attempt was presumed dead; it resumes after the second has recorded its result.
+    EXPECT_FALSE(test.depot.decide({"wk-1", 0}, first.collect(1, "n-1")));
+    EXPECT_EQ(test.depot.final({"wk-1", 0})->attempt, 2u);
+    EXPECT_EQ(test.dir.read("a"), "second\n");
 }
 
-TEST(Stage, ASecondAttemptLeavesTheFirstOnesDirectoryAlone) {
-    // The first may be the one that decides, after all: its files must be there then.
-    Place p;
-    p.what.outputs = {"a"};
-    Stage first(p.what, Place::attempt(1));
+TEST(Stage, SecondAttemptKeepsThePrivateDirectoryOfTheFirst) {
+    // The first attempt may still record the final result, and its files must exist when the result is
+    // settled.
+    StageTest test;
+    test.description.outputs = {"a"};
+    Stage first(test.description, StageTest::attempt(1));
     first.prepare();
-    p.in(first, "echo first > a");
+    test.run_in(first, "echo first > a");
     auto final = first.collect(1, "n-1");
-    Stage second(p.what, Place::attempt(2));
+    Stage second(test.description, StageTest::attempt(2));
     second.prepare();
-    ASSERT_TRUE(p.depot.decide({"wk-1", 0}, final));
-    p.depot.settle({"wk-1", 0}, final);
-    EXPECT_EQ(p.dir.read("a"), "first\n");
+    ASSERT_TRUE(test.depot.decide({"wk-1", 0}, final));
+    test.depot.settle({"wk-1", 0}, final);
+    EXPECT_EQ(test.dir.read("a"), "first\n");
 }
 
-TEST(Stage, WhatWasGivenUpIsNeverPublished) {
-    Place p;
+TEST(Stage, TaskThatWasGivenUpIsNeverPublished) {
+    StageTest test;
     depot::Final given_up;
     given_up.why = "failed";
-    EXPECT_TRUE(p.depot.decide({"wk-1", 0}, given_up));
-    p.what.outputs = {"a"};
-    Stage s(p.what, Place::attempt(3));
-    s.prepare();
-    p.in(s, "echo late > a");
-    EXPECT_FALSE(p.depot.decide({"wk-1", 0}, s.collect(3, "n-1")));
-    EXPECT_FALSE(p.dir.has("a"));
+    EXPECT_TRUE(test.depot.decide({"wk-1", 0}, given_up));
+    test.description.outputs = {"a"};
+    Stage stage(test.description, StageTest::attempt(3));
+    stage.prepare();
+    test.run_in(stage, "echo late > a");
+    EXPECT_FALSE(test.depot.decide({"wk-1", 0}, stage.collect(3, "n-1")));
+    EXPECT_FALSE(test.dir.has("a"));
 }
 
-TEST(Stage, AFailureLeavesTheOldOutputAndTheLog) {
-    Place p;
-    p.dir.write("a", "old\n");
-    p.what.outputs = {"a"};
-    p.what.logs = {"logs/a.log"};
-    p.what.must_produce = true;
-    Stage s(p.what, Place::attempt(1));
-    s.prepare();
-    p.in(s, "echo half > a; echo trouble > logs/a.log");
-    s.abandon();
-    EXPECT_EQ(p.dir.read("a"), "old\n");
-    EXPECT_EQ(p.dir.read("logs/a.log"), "trouble\n");
-    EXPECT_TRUE(depot::stages_of(p.dir.path, {"wk-1", 0}).empty());
+TEST(Stage, FailedAttemptKeepsTheOldOutputAndItsLog) {
+    StageTest test;
+    test.dir.write("a", "old\n");
+    test.description.outputs = {"a"};
+    test.description.logs = {"logs/a.log"};
+    test.description.must_produce = true;
+    Stage stage(test.description, StageTest::attempt(1));
+    stage.prepare();
+    test.run_in(stage, "echo half > a; echo trouble > logs/a.log");
+    stage.abandon();
+    EXPECT_EQ(test.dir.read("a"), "old\n");
+    EXPECT_EQ(test.dir.read("logs/a.log"), "trouble\n");
+    EXPECT_TRUE(depot::stages_of(test.dir.path, {"wk-1", 0}).empty());
 }
 
-TEST(Stage, OutputsThatExistMayBeAddedToAndAreLeftAloneIfNotTouched) {
-    Place p;
-    p.dir.write("log", "one\n");
-    p.dir.write("kept", "kept\n");
+TEST(Stage, ExistingOutputsCanBeAppendedToAndStayUntouchedIfUnchanged) {
+    StageTest test;
+    test.dir.write("log", "one\n");
+    test.dir.write("kept", "kept\n");
     struct stat before {};
-    ::stat(p.dir.str("kept").c_str(), &before);
-    p.what.outputs = {"log", "kept"};
-    Stage s(p.what, Place::attempt(1));
-    s.prepare();
-    p.in(s, "echo two >> log");
-    p.publish(s, 1);
-    EXPECT_EQ(p.dir.read("log"), "one\ntwo\n");
+    ::stat(test.dir.str("kept").c_str(), &before);
+    test.description.outputs = {"log", "kept"};
+    Stage stage(test.description, StageTest::attempt(1));
+    stage.prepare();
+    test.run_in(stage, "echo two >> log");
+    test.publish(stage, 1);
+    EXPECT_EQ(test.dir.read("log"), "one\ntwo\n");
     struct stat after {};
-    ::stat(p.dir.str("kept").c_str(), &after);
+    ::stat(test.dir.str("kept").c_str(), &after);
     EXPECT_EQ(before.st_ino, after.st_ino);
 }
 
-TEST(Stage, RemovalsRenamesAndNewDirectoriesAreCarriedOver) {
-    Place p;
-    p.dir.write("old.tmp", "x\n");
-    p.dir.write("from", "moved\n");
-    p.what.outputs = {"t"};
-    Stage s(p.what, Place::attempt(1));
-    s.prepare();
-    p.in(s, "rm old.tmp; mv from to; mkdir empty; echo t > t");
-    p.publish(s, 1);
-    EXPECT_FALSE(p.dir.has("old.tmp"));
-    EXPECT_FALSE(p.dir.has("from"));
-    EXPECT_EQ(p.dir.read("to"), "moved\n");
-    EXPECT_TRUE(fs::is_directory(p.dir.path / "empty"));
+TEST(Stage, RemovalsRenamesAndNewDirectoriesArePublished) {
+    StageTest test;
+    test.dir.write("old.tmp", "x\n");
+    test.dir.write("from", "moved\n");
+    test.description.outputs = {"t"};
+    Stage stage(test.description, StageTest::attempt(1));
+    stage.prepare();
+    test.run_in(stage, "rm old.tmp; mv from to; mkdir empty; echo t > t");
+    test.publish(stage, 1);
+    EXPECT_FALSE(test.dir.has("old.tmp"));
+    EXPECT_FALSE(test.dir.has("from"));
+    EXPECT_EQ(test.dir.read("to"), "moved\n");
+    EXPECT_TRUE(fs::is_directory(test.dir.path / "empty"));
 }
 
-TEST(Stage, AnOutputThatMustBeThereAndIsNotIsAFailure) {
-    Place p;
-    p.what.outputs = {"a", "b"};
-    p.what.must_produce = p.what.fresh_outputs = true;
-    p.dir.write("b", "of before\n");
-    Stage s(p.what, Place::attempt(1));
-    s.prepare();
-    p.in(s, "echo a > a");
-    EXPECT_THROW(s.collect(1, "n-1"), std::runtime_error);
+TEST(Stage, MissingRequiredOutputIsAnError) {
+    StageTest test;
+    test.description.outputs = {"a", "b"};
+    test.description.must_produce = test.description.fresh_outputs = true;
+    test.dir.write("b", "previous\n");
+    Stage stage(test.description, StageTest::attempt(1));
+    stage.prepare();
+    test.run_in(stage, "echo a > a");
+    EXPECT_THROW(stage.collect(1, "n-1"), std::runtime_error);
 }
 
-TEST(Stage, DirectoriesAsOutputsAreReplacedWhole) {
-    Place p;
-    p.dir.write("pages/old", "old\n");
-    p.what.outputs = p.what.directories = {"pages"};
-    p.what.must_produce = p.what.fresh_outputs = true;
-    Stage s(p.what, Place::attempt(1));
-    s.prepare();
-    p.in(s, "mkdir pages; echo new > pages/new");
-    EXPECT_EQ(p.dir.read("pages/old"), "old\n");
-    p.publish(s, 1);
-    EXPECT_FALSE(p.dir.has("pages/old"));
-    EXPECT_EQ(p.dir.read("pages/new"), "new\n");
+TEST(Stage, DirectoryOutputsAreReplacedAsAWhole) {
+    StageTest test;
+    test.dir.write("pages/old", "old\n");
+    test.description.outputs = test.description.directories = {"pages"};
+    test.description.must_produce = test.description.fresh_outputs = true;
+    Stage stage(test.description, StageTest::attempt(1));
+    stage.prepare();
+    test.run_in(stage, "mkdir pages; echo new > pages/new");
+    EXPECT_EQ(test.dir.read("pages/old"), "old\n");
+    test.publish(stage, 1);
+    EXPECT_FALSE(test.dir.has("pages/old"));
+    EXPECT_EQ(test.dir.read("pages/new"), "new\n");
 }
 
-TEST(Stage, OutputsOutsideThatAFailureChangedAreRemoved) {
-    Place p;
+TEST(Stage, OutputsOutsideTheWorkingDirectoryThatAFailedAttemptChangedAreRemoved) {
+    StageTest test;
     TempDir outside;
-    p.what.outputs = {outside.str("half"), outside.str("kept")};
+    test.description.outputs = {outside.str("half"), outside.str("kept")};
     outside.write("kept", "kept\n");
-    Stage s(p.what, Place::attempt(1));
-    s.prepare();
-    p.in(s, "echo half > " + outside.str("half"));
-    // Its machine is lost; the next attempt undoes what it left.
-    Stage next(p.what, Place::attempt(2));
+    Stage stage(test.description, StageTest::attempt(1));
+    stage.prepare();
+    test.run_in(stage, "echo half > " + outside.str("half"));
+    // The machine is lost; the next attempt removes the outside output that was changed.
+    Stage next(test.description, StageTest::attempt(2));
     next.prepare();
     EXPECT_FALSE(outside.has("half"));
     EXPECT_TRUE(outside.has("kept"));
 }
 
-TEST(Stage, NamesThatAreNotUtf8AreNames) {
-    Place p;
+TEST(Stage, FileNamesThatAreNotUtf8ArePublished) {
+    StageTest test;
     std::string name = "caf\xe9 \x1b[1m";
-    p.what.outputs = {name};
-    auto back = depot::parse_description(nlohmann::json::parse([&] {
-        auto d = p.what;
+    test.description.outputs = {name};
+    auto parsed = depot::parse_description(nlohmann::json::parse([&] {
+        auto d = test.description;
         d.spec.job_class = d.spec.team = d.spec.image = "x";
         d.spec.tasks = 1;
         return depot::to_json(d).dump();
     }()));
-    EXPECT_EQ(back.outputs, p.what.outputs);
-    Stage s(p.what, Place::attempt(1));
-    s.prepare();
-    std::ofstream(s.work() / name) << "x";
-    p.publish(s, 1);
-    EXPECT_EQ(p.dir.read(name), "x");
+    EXPECT_EQ(parsed.outputs, test.description.outputs);
+    Stage stage(test.description, StageTest::attempt(1));
+    stage.prepare();
+    std::ofstream(stage.work() / name) << "x";
+    test.publish(stage, 1);
+    EXPECT_EQ(test.dir.read(name), "x");
 }
