--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -1,8 +1,8 @@
 #pragma once
-// Time, as everything here has it: the steady clock, and what its drift makes of a bound.
+// The clocks and time types of this program, and safety margins for clock drift.
 #include <chrono>
 #include <cstdint>
-#ifdef BARROWRUN_VIRTUAL_TIME  // tests/sim alone: whole nodes on a clock that the test moves
+#ifdef BARROWRUN_VIRTUAL_TIME  // set for tests/sim only: whole nodes run on a clock that the test advances
 #include <sim/clock.hpp>
 #endif
 
@@ -21,8 +21,8 @@
     return std::chrono::duration_cast<Clock::duration>(Seconds(s));
 }
 
-// Steady clocks of different machines drift apart by up to 0.05%; both sides of a comparison may be off, so
-// twice that and a little for timer steps.
+// Steady clocks of different machines drift apart by up to 0.05%. Both sides of a comparison may be off, so
+// the margin is twice that, plus 20 ms for the granularity of timers.
 inline constexpr double drift = 0.001;
 inline Clock::duration longer(Clock::duration d) {
     return std::chrono::duration_cast<Clock::duration>(d * (1 + drift)) + std::chrono::milliseconds(20);
@@ -30,7 +30,7 @@
 inline Clock::duration shorter(Clock::duration d) {
     return std::chrono::duration_cast<Clock::duration>(d * (1 - drift)) - std::chrono::milliseconds(20);
 }
-// The time of day, which records carry: it outlives a process, unlike the steady clock.
+// Wall-clock time, for stored records: unlike the steady clock, it stays comparable after a restart.
 using DayTime = std::chrono::sys_time<std::chrono::milliseconds>;
 inline DayTime day_now() {
     return std::chrono::time_point_cast<std::chrono::milliseconds>(DayClock::now());
--- a/src/base/seed.hpp
+++ b/src/base/seed.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What makes one process's draws differ from another's.
+// Seeds for random number generators that differ from process to process.
 #include <cstdint>
 #include <random>
 #ifdef BARROWRUN_VIRTUAL_TIME
@@ -9,7 +9,7 @@
 namespace barrowrun {
 inline std::uint32_t fresh_seed() {
 #ifdef BARROWRUN_VIRTUAL_TIME
-    return sim::fresh_seed();  // the same seed gives the same history
+    return sim::fresh_seed();  // derived from the simulation's seed, so that a run can be repeated
 #else
     return std::random_device{}();
 #endif
--- a/src/client/client.hpp
+++ b/src/client/client.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// Users' side of the protocol: submissions under ids of their own, repeated until there is an answer, spread
-// over the nodes. Safe to repeat: a job that is known is never submitted twice.
+// The client of the user protocol. It spreads requests over the nodes and retries until a node gives a final
+// answer. Retries of a submission are safe: the client chooses the job id, and a known job is not submitted
+// twice.
 #include <random>
 #include <string>
 #include <vector>
@@ -12,17 +13,18 @@
 
 using net::Task;
 
+// Timeouts and pauses of retried requests. The pause doubles from `first_pause` to `longest_pause`.
 struct Patience {
-    Clock::duration answer = std::chrono::seconds(5);  // per try
-    Clock::duration total = std::chrono::seconds(60);  // over all tries
+    Clock::duration answer = std::chrono::seconds(5);  // timeout of each attempt
+    Clock::duration total = std::chrono::seconds(60);  // time limit for all attempts
     Clock::duration first_pause = std::chrono::milliseconds(100), longest_pause = std::chrono::seconds(5);
 };
 
 enum class Answer {
-    accepted,   // on record; `standing` is the job's
-    refused,    // for good: `why`
-    no_answer,  // within the patience: it may be on record, or may not
-    unknown,    // status: never accepted
+    accepted,   // the job is on record; `status` holds its state
+    refused,    // final; `why` holds the reason
+    no_answer,  // no final answer in time: the job may or may not be on record
+    unknown,    // the nodes have no job with this id
 };
 
 struct Outcome {
@@ -31,39 +33,43 @@
     std::string why;
 };
 
-// Who takes jobs: a site's nodes, or something that stands before them.
+// An interface that accepts jobs: the nodes of a site, or a substitute for them.
 class JobService {
   public:
     virtual ~JobService() = default;
     virtual Task<Outcome> submit(wire::JobSpec spec) = 0;
     virtual Task<Outcome> cancel(std::string id) = 0;
-    // One round over the nodes, without further patience: pollers come again.
+    // Asks each node at most once and doesn't retry further, since callers poll.
     virtual Task<Outcome> status(std::string id) = 0;
 };
 
 class Client : public JobService {
   public:
-    Client(net::asio::io_context& io, std::vector<std::string> nodes, Patience patience = {});
+    Client(net::asio::io_context& io, std::vector<std::string> nodes, Patience retry_policy = {});
     Task<Outcome> submit(wire::JobSpec spec) override;
     Task<Outcome> cancel(std::string id) override;
     Task<Outcome> status(std::string id) override;
-    // Any request, until a node gives an answer other than 503, 504 or 429, or patience ends.
+    // Sends any request. Retries while there is no response or its status is 429, 503 or 504, until the total
+    // time limit; returns the last reply.
     Task<net::Reply> request(net::http::verb method, std::string target, std::optional<wire::Json> body);
     const std::vector<std::string>& nodes() const { return nodes_; }
 
   private:
     Task<net::Reply> ask(net::http::verb method, std::string target, std::optional<wire::Json> body,
                          Clock::duration deadline);
-    Task<Outcome> insist(net::http::verb method, std::string target, std::optional<wire::Json> body);
+    Task<Outcome> call_with_retries(net::http::verb method, std::string target,
+                                    std::optional<wire::Json> body);
     net::HttpClient http_;
     std::vector<std::string> nodes_;
-    std::vector<TimePoint> bad_until_;  // nodes that failed lately are asked last
-    Patience patience_;
-    std::size_t next_ = 0;
+    // One time per node: until then, a node that failed is used only if all others failed too.
+    std::vector<TimePoint> avoid_until_;
+    Patience retry_policy_;
+    std::size_t next_node_ = 0;
     std::mt19937 random_{std::random_device{}()};
 };
 
-// Nodes as `127.0.0.1:8080,127.0.0.1:8081`. Throws std::runtime_error naming the one that is no address.
+// Parses a list of nodes such as `127.0.0.1:8080,127.0.0.1:8081`. Throws std::runtime_error that names the
+// invalid address.
 std::vector<std::string> parse_nodes(const std::string& text);
 
 }  // namespace barrowrun::client
--- a/src/depot/depot.cpp
+++ b/src/depot/depot.cpp
@@ -13,24 +13,24 @@
 namespace barrowrun::depot {
 namespace {
 
-Json text_list(const std::vector<std::string>& list) {
+Json encoded_list(const std::vector<std::string>& list) {
     Json out = Json::array();
     for (auto& s : list) out.push_back(to_text(s));
     return out;
 }
 
-std::string bytes(const Json& v) {
+std::string decoded(const Json& v) {
     return from_text(v.get<std::string>());
 }
 
-std::vector<std::string> byte_list(const Json& value, const char* key) {
+std::vector<std::string> decoded_list(const Json& value, const char* key) {
     std::vector<std::string> out;
     if (auto it = value.find(key); it != value.end())
-        for (auto& v : *it) out.push_back(bytes(v));
+        for (auto& v : *it) out.push_back(decoded(v));
     return out;
 }
 
-// Held by one process at a time, and by none that has died.
+// An exclusive lock on a file; the kernel releases it when the process that holds it ends.
 struct Lock {
     int fd;
     explicit Lock(const fs::path& path) : fd(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644)) {
@@ -52,20 +52,20 @@
     Json env = Json::object();
     for (auto& [k, v] : d.env) env[to_text(k)] = to_text(v);
     return Json{{"job", wire::submission_json(d.spec)},
-                {"shell", text_list(d.shell)},
+                {"shell", encoded_list(d.shell)},
                 {"steps", std::move(steps)},
                 {"dir", to_text(d.dir)},
                 {"env", std::move(env)},
-                {"inputs", text_list(d.inputs)},
-                {"outputs", text_list(d.outputs)},
+                {"inputs", encoded_list(d.inputs)},
+                {"outputs", encoded_list(d.outputs)},
                 {"private", d.in_private},
                 {"must_produce", d.must_produce},
                 {"delete_on_error", d.delete_on_error},
                 {"fresh_outputs", d.fresh_outputs},
-                {"directories", text_list(d.directories)},
-                {"touch", text_list(d.touch)},
-                {"protect", text_list(d.protect)},
-                {"logs", text_list(d.logs)},
+                {"directories", encoded_list(d.directories)},
+                {"touch", encoded_list(d.touch)},
+                {"protect", encoded_list(d.protect)},
+                {"logs", encoded_list(d.logs)},
                 {"limit_memory", d.limit_memory}};
 }
 
@@ -74,23 +74,23 @@
     auto spec = wire::parse_submission(value.at("job"));
     if (auto* wrong = std::get_if<std::string>(&spec)) throw std::runtime_error(*wrong);
     d.spec = std::get<wire::JobSpec>(std::move(spec));
-    if (value.contains("shell")) d.shell = byte_list(value, "shell");
+    if (value.contains("shell")) d.shell = decoded_list(value, "shell");
     if (d.shell.empty()) throw std::runtime_error("shell: expected at least one word");
     for (auto& s : value.at("steps"))
-        d.steps.push_back({bytes(s.at("run")), s.value("echo", true), s.value("ignore", false)});
-    d.dir = bytes(value.at("dir"));
+        d.steps.push_back({decoded(s.at("run")), s.value("echo", true), s.value("ignore", false)});
+    d.dir = decoded(value.at("dir"));
     if (auto it = value.find("env"); it != value.end())
-        for (auto& [k, v] : it->items()) d.env[from_text(k)] = bytes(v);
-    d.inputs = byte_list(value, "inputs");
-    d.outputs = byte_list(value, "outputs");
+        for (auto& [k, v] : it->items()) d.env[from_text(k)] = decoded(v);
+    d.inputs = decoded_list(value, "inputs");
+    d.outputs = decoded_list(value, "outputs");
     d.in_private = value.value("private", false);
     d.must_produce = value.value("must_produce", false);
     d.delete_on_error = value.value("delete_on_error", true);
     d.fresh_outputs = value.value("fresh_outputs", false);
-    d.directories = byte_list(value, "directories");
-    d.touch = byte_list(value, "touch");
-    d.protect = byte_list(value, "protect");
-    d.logs = byte_list(value, "logs");
+    d.directories = decoded_list(value, "directories");
+    d.touch = decoded_list(value, "touch");
+    d.protect = decoded_list(value, "protect");
+    d.logs = decoded_list(value, "logs");
     d.limit_memory = value.value("limit_memory", false);
     return d;
 }
@@ -127,11 +127,11 @@
 }
 
 void Depot::keep_result(const wire::Attempt& a, const Result& r) const {
-    // For people only: it need not outlive a loss of power.
+    // Users read this file and the scheduler doesn't, so it isn't synced to disk.
     fs::create_directories(run_dir(a));
-    auto path = run_dir(a) / "result.json", part = run_dir(a) / ".result";
-    std::ofstream(part) << to_json(r).dump();
-    fs::rename(part, path);
+    auto path = run_dir(a) / "result.json", temporary = run_dir(a) / ".result";
+    std::ofstream(temporary) << to_json(r).dump();
+    fs::rename(temporary, path);
 }
 
 std::optional<Result> Depot::last_result(const wire::TaskId& task) const {
@@ -160,8 +160,8 @@
     return out;
 }
 
-fs::path Depot::final_path(const wire::TaskId& task, const char* end) const {
-    return root_ / "final" / (task.job + "." + std::to_string(task.index) + end);
+fs::path Depot::final_path(const wire::TaskId& task, const char* extension) const {
+    return root_ / "final" / (task.job + "." + std::to_string(task.index) + extension);
 }
 
 bool Depot::decide(const wire::TaskId& task, const Final& f) const {
@@ -173,7 +173,7 @@
                            {"mtime_ns", o.mtime_ns}});
     Json value{{"published", f.published},      {"why", to_text(f.why)},
                {"attempt", f.attempt},          {"machine", f.machine},
-               {"outputs", std::move(outputs)}, {"removed", text_list(f.removed)}};
+               {"outputs", std::move(outputs)}, {"removed", encoded_list(f.removed)}};
     return create_once(final_path(task, ".json"), value.dump());
 }
 
@@ -186,9 +186,9 @@
             v.value("attempt", std::uint64_t{0}),
             v.value("machine", ""),
             {},
-            byte_list(v, "removed")};
+            decoded_list(v, "removed")};
     for (auto& o : v.at("outputs"))
-        f.outputs.push_back({bytes(o.at("staged")), bytes(o.at("path")), o.value("xxh128", ""),
+        f.outputs.push_back({decoded(o.at("staged")), decoded(o.at("path")), o.value("xxh128", ""),
                              o.value("mtime_ns", std::int64_t{0})});
     return f;
 }
@@ -199,14 +199,16 @@
 
 void Depot::settle(const wire::TaskId& task, const Final& f) const {
     if (!f.published || settled(task)) return;
-    // One at a time: two that swap the same directory at once could move the new one aside.
+    // The lock serializes processes that settle the same task: two that replace the same directory at once
+    // could move the new directory away.
     Lock lock(final_path(task, ".lock"));
     if (settled(task)) return;
     std::set<fs::path> parents;
     for (auto& o : f.outputs) {
         fs::path staged = o.staged, path = o.path;
         std::error_code ec;
-        // Moved by an earlier try. The name is unique to the attempt, so nothing else ever stands there.
+        // An earlier call has moved the file already: the staged name is unique to the attempt and is not
+        // reused.
         if (!fs::exists(fs::symlink_status(staged, ec))) continue;
         fs::create_directories(path.parent_path());
         if (o.hash == made_directory) {
@@ -216,11 +218,11 @@
         }
         if (fs::is_directory(fs::symlink_status(path, ec)) ||
             fs::is_directory(fs::symlink_status(staged, ec))) {
-            // A directory can't be replaced by a rename: the old one steps aside first.
-            fs::path aside = staged.string() + ".replaced";
+            // rename(2) can't replace a directory, so the old one is renamed first.
+            fs::path replaced = staged.string() + ".replaced";
             if (fs::exists(fs::symlink_status(path, ec))) {
-                fs::remove_all(aside, ec);
-                fs::rename(path, aside);
+                fs::remove_all(replaced, ec);
+                fs::rename(path, replaced);
             }
         }
         if (::rename(staged.c_str(), path.c_str()) != 0 && errno != ENOENT)
@@ -233,7 +235,7 @@
     }
     for (auto& p : parents)
         if (fs::exists(p)) sync_dir(p);
-    // Not synced: if it is lost, the answer is settled once more, which changes nothing.
+    // This file isn't synced: if it is lost, the next call repeats the moves, which changes nothing.
     std::ofstream(final_path(task, ".ok"));
 }
 
--- a/src/depot/files.cpp
+++ b/src/depot/files.cpp
@@ -24,7 +24,7 @@
     }
 };
 
-fs::path beside(const fs::path& path) {
+fs::path temporary_path_beside(const fs::path& path) {
     static std::atomic<unsigned> counter{0};
     return path.parent_path() / ("." + path.filename().string() + "." + std::to_string(::getpid()) + "." +
                                  std::to_string(++counter));
@@ -33,15 +33,15 @@
 void write_synced(const fs::path& path, const std::string& content) {
     Descriptor file(::open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644));
     if (file.fd < 0) throw FileError("open", path, errno);
-    for (std::size_t at = 0; at < content.size();) {
-        auto n = ::write(file.fd, content.data() + at, content.size() - at);
+    for (std::size_t written = 0; written < content.size();) {
+        auto n = ::write(file.fd, content.data() + written, content.size() - written);
         if (n < 0) {
             if (errno == EINTR) continue;
             int error = errno;
             ::unlink(path.c_str());
             throw FileError("write", path, error);
         }
-        at += static_cast<std::size_t>(n);
+        written += static_cast<std::size_t>(n);
     }
     if (::fsync(file.fd) != 0) {
         int error = errno;
@@ -69,18 +69,18 @@
         throw FileError("open", path, errno);
     }
     std::string out;
-    char part[16384];
+    char chunk[16384];
     for (;;) {
-        auto n = ::read(file.fd, part, sizeof part);
+        auto n = ::read(file.fd, chunk, sizeof chunk);
         if (n < 0 && errno == EINTR) continue;
         if (n < 0) throw FileError("read", path, errno);
         if (n == 0) return out;
-        out.append(part, static_cast<std::size_t>(n));
+        out.append(chunk, static_cast<std::size_t>(n));
     }
 }
 
 void write_whole(const fs::path& path, const std::string& content) {
-    auto temporary = beside(path);
+    auto temporary = temporary_path_beside(path);
     write_synced(temporary, content);
     if (::rename(temporary.c_str(), path.c_str()) != 0) {
         int error = errno;
@@ -91,14 +91,14 @@
 }
 
 bool create_once(const fs::path& path, const std::string& content) {
-    auto temporary = beside(path);
+    auto temporary = temporary_path_beside(path);
     write_synced(temporary, content);
-    bool won = ::link(temporary.c_str(), path.c_str()) == 0;
+    bool created = ::link(temporary.c_str(), path.c_str()) == 0;
     int error = errno;
     ::unlink(temporary.c_str());
-    if (!won && error != EEXIST) throw FileError("link", path, error);
+    if (!created && error != EEXIST) throw FileError("link", path, error);
     sync_dir(path.parent_path());
-    return won;
+    return created;
 }
 
 void sync_file(const fs::path& path) {
@@ -116,13 +116,13 @@
     if (file.fd < 0) throw FileError("open", path, errno);
     std::unique_ptr<XXH3_state_t, decltype(&XXH3_freeState)> state(XXH3_createState(), &XXH3_freeState);
     XXH3_128bits_reset(state.get());
-    std::vector<char> part(1 << 18);
+    std::vector<char> chunk(1 << 18);
     for (;;) {
-        auto n = ::read(file.fd, part.data(), part.size());
+        auto n = ::read(file.fd, chunk.data(), chunk.size());
         if (n < 0 && errno == EINTR) continue;
         if (n < 0) throw FileError("read", path, errno);
         if (n == 0) break;
-        XXH3_128bits_update(state.get(), part.data(), static_cast<std::size_t>(n));
+        XXH3_128bits_update(state.get(), chunk.data(), static_cast<std::size_t>(n));
     }
     return hex128(XXH3_128bits_digest(state.get()));
 }
@@ -144,17 +144,17 @@
                         : (c >> 4) == 14             ? 3
                         : (c >> 3) == 30 && c < 0xf5 ? 4
                                                      : 0;
-        bool good = n > 0 && c != 0x1b && i + n <= bytes.size();
-        for (std::size_t k = 1; good && k < n; ++k)
-            good = (static_cast<unsigned char>(bytes[i + k]) >> 6) == 2;
-        if (good && n == 3) {
+        bool valid = n > 0 && c != 0x1b && i + n <= bytes.size();
+        for (std::size_t k = 1; valid && k < n; ++k)
+            valid = (static_cast<unsigned char>(bytes[i + k]) >> 6) == 2;
+        if (valid && n == 3) {
             auto d = static_cast<unsigned char>(bytes[i + 1]);
-            good = !(c == 0xe0 && d < 0xa0) && !(c == 0xed && d >= 0xa0);
-        } else if (good && n == 4) {
+            valid = !(c == 0xe0 && d < 0xa0) && !(c == 0xed && d >= 0xa0);
+        } else if (valid && n == 4) {
             auto d = static_cast<unsigned char>(bytes[i + 1]);
-            good = !(c == 0xf0 && d < 0x90) && !(c == 0xf4 && d >= 0x90);
+            valid = !(c == 0xf0 && d < 0x90) && !(c == 0xf4 && d >= 0x90);
         }
-        if (good) {
+        if (valid) {
             out.append(bytes, i, n);
             i += n;
         } else {
--- a/src/net/duties.hpp
+++ b/src/net/duties.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// Coroutine helpers: long-lived duties with orderly cancellation, wake-up signals, sleeping, rate budgets.
+// Coroutine helpers: groups of long-running coroutines that are cancelled together, wake-up signals,
+// sleeping, cooperative yielding and rate limiting.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -32,7 +33,8 @@
     co_await timer.async_wait(asio::use_awaitable);
 }
 
-// Long work in slices: between two of them whatever else is ready goes on.
+// Lets a long computation yield: `pause` lets other ready handlers of the executor run once `length` has
+// passed since the last yield, and otherwise returns immediately.
 class Slices {
   public:
     explicit Slices(Clock::duration length) : length_(length), begun_(Clock::now()) {}
@@ -47,7 +49,7 @@
     TimePoint begun_;
 };
 
-// Wakes one waiting coroutine; a wake-up without a waiter is remembered.
+// Wakes one waiting coroutine. A wake-up that finds no waiter makes the next wait return immediately.
 class Signal {
   public:
     explicit Signal(asio::io_context& io) : timer_(io) {}
@@ -55,7 +57,8 @@
         set_ = true;
         timer_.cancel();
     }
-    // Returns when woken or after the time.
+    // Returns after a wake-up, or when `most` has passed. Throws operation_aborted if the coroutine is
+    // cancelled.
     Task<> wait(Clock::duration most) {
         if (!set_) {
             timer_.expires_after(most);
@@ -73,7 +76,8 @@
     bool set_ = false;
 };
 
-// Coroutines that end together. Each gets its own cancellation; what else ends one is logged.
+// A group of coroutines that are cancelled together. Each has its own cancellation signal; any other
+// exception that ends a coroutine is logged.
 class Duties {
   public:
     explicit Duties(asio::io_context& io) : io_(io) {}
@@ -109,18 +113,19 @@
         std::make_shared<std::list<std::shared_ptr<asio::cancellation_signal>>>();
 };
 
-// Spreads calls so that a rate limit of the other side is kept; allows a burst of a part of a second's worth.
+// A token bucket that keeps calls within the rate limit of the called service. `burst` is its capacity in
+// calls.
 class RateBudget {
   public:
     RateBudget(double per_s, double burst)
         : per_s_(std::max(0.1, per_s)), burst_(std::max(1.0, burst)), level_(burst_) {}
-    // Reserves n and tells how long to wait before using them.
+    // Takes n tokens and returns how long the caller must wait before it uses them.
     Clock::duration reserve(TimePoint now, double n) {
         refill(now);
         level_ -= n;
         return level_ >= 0 ? Clock::duration::zero() : secs(-level_ / per_s_);
     }
-    // The same, unless the wait would be longer than `most`: then nothing is reserved.
+    // As `reserve`, but takes no tokens and returns nothing if the wait would exceed `most`.
     std::optional<Clock::duration> reserve_within(TimePoint now, double n, Clock::duration most) {
         refill(now);
         if (level_ - n < 0 && secs((n - level_) / per_s_) > most) return std::nullopt;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -35,8 +35,8 @@
     auto token = asio::redirect_error(asio::use_awaitable, ec);
     bool fresh = !conn;
     if (fresh) {
-        // A fleet of a thousand workers would take all of the process's sockets, and reports could not come
-        // in.
+        // Without this limit, connections to a fleet of 1,000 workers take all sockets of the process, and
+        // the server can't accept the workers' heartbeats.
         for (const auto end = now + deadline; open_ >= most_open_;) {
             close_oldest_idle();
             if (open_ < most_open_) break;
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A pooled HTTP client with a deadline on every call.
+// An HTTP client with a connection pool and a deadline on every call.
 #include <boost/beast.hpp>
 #include <map>
 #include <optional>
@@ -16,17 +16,18 @@
 using wire::Json;
 
 struct Reply {
-    int status = 0;            // 0: no answer
-    bool may_execute = false;  // without an answer: the request may have reached the other side, or still may
+    int status = 0;  // HTTP status; 0: no response
+    // There was no response, but the server may have received the request or may yet receive it.
+    bool may_execute = false;
     Json body;
-    bool garbage = false;  // an answer whose body could not be read
+    bool garbage = false;  // the response has a body that is not valid MessagePack
     std::optional<std::chrono::seconds> retry_after{};
 };
 
 class HttpClient {
   public:
-    // `most_open` bounds all its connections: idle ones are closed for new ones, oldest first, and a call
-    // beyond that waits its turn.
+    // `most_open` limits the client's connections. At the limit, a new connection replaces the idle one that
+    // was used least recently; if none is idle, the call waits for a connection until its deadline.
     HttpClient(asio::io_context& io, std::size_t idle_per_peer = 4, std::size_t most_open = 10'000)
         : io_(io), idle_per_peer_(idle_per_peer), most_open_(std::max<std::size_t>(1, most_open)) {}
     Task<Reply> call(std::string address, http::verb method, std::string target, std::optional<Json> body,
@@ -53,7 +54,8 @@
     std::map<std::string, std::vector<std::unique_ptr<Connection>>> idle_;
 };
 
-// `any_port`: to listen on; port 0 lets the system choose.
+// Parses `<IP address>:<port>`. `any_port` allows port 0, with which the system chooses the port to listen
+// on.
 std::optional<asio::ip::tcp::endpoint> parse_endpoint(const std::string& address, bool any_port = false);
 
 }  // namespace barrowrun::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -85,7 +85,7 @@
                 try {
                     answer = co_await shared->handler(std::move(request));
                 } catch (const std::exception& e) {
-                    spdlog::error("a request failed: {}", e.what());
+                    spdlog::error("HTTP request handler failed, answering 503: {}", e.what());
                     answer = {503, {{"error", "internal"}}, 1};
                 }
             }
@@ -107,7 +107,9 @@
 
 void HttpServer::listen(const std::string& address) {
     auto endpoint = parse_endpoint(address, true);
-    if (!endpoint) throw std::runtime_error("not an address: " + address);
+    if (!endpoint)
+        throw std::runtime_error("listen address: expected an IP address and a port, found '" + address +
+                                 "'");
     acceptor_.emplace(io_);
     acceptor_->open(endpoint->protocol());
     acceptor_->set_option(asio::socket_base::reuse_address(true));
@@ -122,7 +124,8 @@
         boost::system::error_code ec;
         auto socket = co_await acceptor_->async_accept(asio::redirect_error(asio::use_awaitable, ec));
         if (ec) {
-            // Out of sockets, or a connection that ended while it waited: go on shortly.
+            // The process is out of sockets, or the peer closed the connection before it was accepted: retry
+            // after a short pause.
             co_await sleep_for(std::chrono::milliseconds(20));
             continue;
         }
@@ -130,7 +133,7 @@
         if (ec) continue;
         auto arrival = shared_->rooms.arrive(peer.address().to_string());
         shared_->close(arrival.evict);
-        if (!arrival.id) continue;  // closes it: the load balancer moves on to another node
+        if (!arrival.id) continue;  // the socket closes, and the load balancer tries another node
         asio::co_spawn(io_, connection(std::move(socket), shared_, *arrival.id), asio::detached);
     }
 }
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The HTTP server: a coroutine per connection, bounded bodies, bounded connections.
+// The HTTP server: one coroutine per connection, with limits on body size and on the number of connections.
 #include <boost/beast.hpp>
 #include <functional>
 #include <optional>
@@ -24,14 +24,16 @@
 struct Response {
     int status = 200;
     Json body = Json::object();
-    int retry_after = 0;  // seconds; 0: not said
+    int retry_after = 0;  // seconds, sent as the Retry-After header; 0: no such header
 };
 
 using Handler = std::function<Task<Response>(Request)>;
 using Classify = std::function<Caller(const Request&)>;
 
-// How long a connection may take, by what it is doing. A started request has seconds: half a header kept a
-// connection for two minutes once.
+// Time limits of a connection: until the first byte of its first request (`first`), between two requests
+// (`idle`), for reading a started request (`request`) and for writing the response (`answer`). The limit on a
+// started request is a few seconds, because without it a peer that sent half a header and stopped held its
+// connection for two minutes.
 struct ServerTimes {
     std::chrono::seconds first{30}, request{10}, idle{120}, answer{10};
 };
@@ -39,12 +41,13 @@
 class HttpServer {
   public:
     HttpServer(asio::io_context& io, std::size_t max_connections, ServerTimes times = {});
-    // Listens at once, and throws if it can't.
+    // Binds the address and starts listening. Throws if that fails.
     void listen(const std::string& address);
-    // `classify`: who asks; without it, nobody is a user.
+    // Accepts connections and serves requests. `classify` tells user requests from system requests; without
+    // it, every request counts as a system request.
     Task<> serve(Handler handler, Classify classify = {});
     std::size_t connections() const;
-    std::string address() const;  // where it listens
+    std::string address() const;  // the address that the server listens on, with the actual port
 
   private:
     asio::io_context& io_;
--- a/src/net/reach.hpp
+++ b/src/net/reach.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// Says in the log which other side can't be reached: within a second, then at growing intervals, and once
-// when it is back. Plain decisions on times that are passed in.
+// Decides when the log reports that a peer does not answer: 400 ms after the first failed call at the
+// earliest, then at intervals that double from 1 s to 1 min, and once more when a reported peer answers
+// again. It does no I/O and reads no clock: the caller passes the times in.
 #include <algorithm>
 #include <optional>
 #include <string>
@@ -11,8 +12,9 @@
 
 class Reach {
   public:
+    // `name` is the peer as log lines name it.
     explicit Reach(std::string name) : name_(std::move(name)) {}
-    // The line to be logged, if any.
+    // Records the outcome of one call and returns the line to log, if one is due.
     std::optional<std::string> note(bool answered, TimePoint now) {
         if (answered) {
             if (!since_) return std::nullopt;
@@ -37,7 +39,7 @@
     bool away() const { return since_.has_value(); }
 
   private:
-    // One lost answer is no news.
+    // A single lost response is not reported.
     static constexpr std::chrono::milliseconds first_after{400};
     static std::string tenths(double s) {
         auto t = static_cast<long>(s * 10);
--- a/src/net/rooms.cpp
+++ b/src/net/rooms.cpp
@@ -68,7 +68,8 @@
 
 Rooms::Verdict Rooms::request(Id id, Caller caller) {
     auto it = all_.find(id);
-    if (it == all_.end()) return {};  // displaced while its request came in: it is served and then closed
+    if (it == all_.end())
+        return {};  // evicted while its request was being read: it is still answered, then closed
     auto& e = it->second;
     leave(id, e);
     users_ -= e.caller == Caller::user;
@@ -77,7 +78,8 @@
     enter(id, e, Stage::served);
     Verdict out;
     if (caller != Caller::user || users_ <= most_users_) return out;
-    // Idle users go first; only if all of them are being served is this one refused.
+    // Users are over their share: an idle user's connection is evicted, or this request is refused if none is
+    // idle.
     out.serve = !idle_users_.empty();
     if (out.serve) {
         out.evict = idle_users_.front();
--- a/src/proc/spawn.cpp
+++ b/src/proc/spawn.cpp
@@ -25,48 +25,50 @@
 namespace barrowrun::proc {
 namespace {
 
-[[noreturn]] void give_up(const char* name, const char* why, int status) {
+[[noreturn]] void exit_with_message(const char* name, const char* message, int status) {
     [[maybe_unused]] auto n = ::write(2, name, std::strlen(name));
-    n = ::write(2, why, std::strlen(why));
+    n = ::write(2, message, std::strlen(message));
     ::_exit(status);
 }
 
 }  // namespace
 
-pid_t spawn(const Spawn& what) {
-    // Everything that allocates happens before: between vfork and exec only plain system calls are safe.
+pid_t spawn(const Spawn& command) {
+    // All memory is allocated before vfork: between vfork and exec only plain system calls are safe.
     std::vector<char*> argv;
-    for (auto& a : what.argv) argv.push_back(const_cast<char*>(a.c_str()));
+    for (auto& a : command.argv) argv.push_back(const_cast<char*>(a.c_str()));
     argv.push_back(nullptr);
     std::map<std::string, std::string> env;
     for (char** e = environ; *e; ++e)
         if (const char* eq = std::strchr(*e, '='))
             env[std::string(*e, static_cast<std::size_t>(eq - *e))] = eq + 1;
-    for (auto& [k, v] : what.env) env[k] = v;
+    for (auto& [k, v] : command.env) env[k] = v;
     std::vector<std::string> pairs;
     for (auto& [k, v] : env) pairs.push_back(k + "=" + v);
     std::vector<char*> envp;
     for (auto& p : pairs) envp.push_back(p.data());
     envp.push_back(nullptr);
     const pid_t parent = ::getpid();
-    // vfork: this process goes on only after the exec, so the child never holds descriptors that this one
-    // closes meanwhile. After a plain fork it did for a moment, which kept them in the reactor's set: their
-    // late events were taken for those of other descriptors, and running commands for ended ones.
+    // vfork suspends the calling thread until the exec, so the child never holds descriptors that the parent
+    // closes in the meantime. With fork, the child held such descriptors for a moment, which kept them in the
+    // reactor's epoll set: their late events were attributed to other descriptors, and running commands were
+    // taken as ended.
     const pid_t pid = ::vfork();
     if (pid < 0) throw std::system_error(errno, std::generic_category(), "vfork");
     if (pid > 0) {
-        if (what.own_group) ::setpgid(pid, pid);
+        if (command.own_group) ::setpgid(pid, pid);
         return pid;
     }
-    if (what.own_group) ::setpgid(0, 0);
-    // Who dies takes these with it; what they have started in turn is found by its mark.
+    if (command.own_group) ::setpgid(0, 0);
+    // The kernel kills the child when the thread that started it ends. Processes that the child has started
+    // are not killed with it; `marked` finds them by their environment.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent) ::_exit(125);
-    if (what.output >= 0) {
+    if (command.output >= 0) {
         int null = ::open("/dev/null", O_RDONLY);
         if (null >= 0) ::dup2(null, 0);
-        ::dup2(what.output, 1);
-        ::dup2(what.output, 2);
+        ::dup2(command.output, 1);
+        ::dup2(command.output, 2);
     }
     sigset_t none;
     ::sigemptyset(&none);
@@ -74,14 +76,14 @@
     ::signal(SIGPIPE, SIG_DFL);
     rlimit no_core{0, 0};
     ::setrlimit(RLIMIT_CORE, &no_core);
-    if (what.memory_bytes) {
-        rlimit memory{what.memory_bytes, what.memory_bytes};
+    if (command.memory_bytes) {
+        rlimit memory{command.memory_bytes, command.memory_bytes};
         ::setrlimit(RLIMIT_AS, &memory);
     }
-    if (!what.dir.empty() && ::chdir(what.dir.c_str()) != 0)
-        give_up(what.dir.c_str(), ": this directory can't be entered\n", 126);
+    if (!command.dir.empty() && ::chdir(command.dir.c_str()) != 0)
+        exit_with_message(command.dir.c_str(), ": cannot change to this directory\n", 126);
     ::execvpe(argv[0], argv.data(), envp.data());
-    give_up(argv[0], ": can't be started\n", 127);
+    exit_with_message(argv[0], ": cannot execute this command\n", 127);
 }
 
 int watch(pid_t pid) {
@@ -114,9 +116,9 @@
         if (error != std::errc{} || p != name.data() + name.size() || pid == ::getpid()) continue;
         std::ifstream in("/proc/" + name + "/environ", std::ios::binary);
         std::string entry;
-        bool ours = false;
-        while (!ours && std::getline(in, entry, '\0')) ours = entry == wanted;
-        if (!ours) continue;
+        bool matches = false;
+        while (!matches && std::getline(in, entry, '\0')) matches = entry == wanted;
+        if (!matches) continue;
         std::ifstream stat("/proc/" + name + "/stat");
         std::stringstream text;
         text << stat.rdbuf();
@@ -138,7 +140,8 @@
         for (auto pid : pids) ::kill(pid, SIGKILL);
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    throw std::runtime_error("processes of an earlier worker can't be ended");
+    throw std::runtime_error("processes with " + std::string(mark_variable) + "=" + mark +
+                             " are still running after repeated SIGKILL");
 }
 
 }  // namespace barrowrun::proc
--- a/src/store/sqlite.hpp
+++ b/src/store/sqlite.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A thin cover over SQLite: every change is synced before the call that made it returns.
+// A thin wrapper around SQLite. Each commit is synced to disk before the call returns.
 #include <sqlite3.h>
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 namespace barrowrun::store {
 
 struct StoreError : std::runtime_error {
-    int code;  // SQLite's
+    int code;  // SQLite's primary result code
     StoreError(const std::string& what, int c) : std::runtime_error(what), code(c) {}
     bool full() const { return code == SQLITE_FULL; }
 };
@@ -20,13 +20,13 @@
 class Statement {
   public:
     Statement(sqlite3* db, const char* sql);
-    // Bound from 1 on, in the order of the calls.
-    Statement& bind(std::string_view bytes);  // as a blob
+    // The calls bind the statement's parameters in order, starting with parameter 1.
+    Statement& bind(std::string_view bytes);  // binds a blob
     Statement& text(std::string_view text);
     Statement& bind(std::int64_t n);
     Statement& null();
-    bool step();  // true: there is a row
-    // Runs to the end and makes the statement ready for the next use.
+    bool step();  // true if there is a row to read
+    // Executes the statement to its end, then resets it and clears its parameters.
     void run();
     void reset();
     std::int64_t number(int column) const;
@@ -34,30 +34,30 @@
     bool is_null(int column) const;
 
   private:
-    struct End {
-        void operator()(sqlite3_stmt* s) const { sqlite3_finalize(s); }
+    struct Finalizer {
+        void operator()(sqlite3_stmt* statement) const { sqlite3_finalize(statement); }
     };
-    std::unique_ptr<sqlite3_stmt, End> s_;
-    int next_ = 1;
+    std::unique_ptr<sqlite3_stmt, Finalizer> statement_;
+    int next_parameter_ = 1;
 };
 
 class Database {
   public:
-    // `exclusive`: held by this process alone as long as it is open; throws StoreError (SQLITE_BUSY) if
-    // another has it.
+    // `exclusive` locks the database for this process as long as it is open. Throws StoreError with
+    // SQLITE_BUSY if another process holds the lock.
     explicit Database(const std::string& path, bool exclusive = false);
     Statement prepare(const char* sql) { return Statement(db_.get(), sql); }
     void run(const char* sql);
     sqlite3* handle() { return db_.get(); }
 
   private:
-    struct End {
-        void operator()(sqlite3* d) const { sqlite3_close(d); }
+    struct Closer {
+        void operator()(sqlite3* database) const { sqlite3_close(database); }
     };
-    std::unique_ptr<sqlite3, End> db_;
+    std::unique_ptr<sqlite3, Closer> db_;
 };
 
-// All or nothing: rolled back unless committed.
+// A transaction that is rolled back by the destructor unless it was committed.
 class Transaction {
   public:
     explicit Transaction(Database& db) : db_(db) { db_.run("BEGIN IMMEDIATE"); }
@@ -66,12 +66,12 @@
     ~Transaction();
     void commit() {
         db_.run("COMMIT");
-        done_ = true;
+        committed_ = true;
     }
 
   private:
     Database& db_;
-    bool done_ = false;
+    bool committed_ = false;
 };
 
 }  // namespace barrowrun::store
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -7,7 +7,7 @@
 
 constexpr int max_depth = 24;
 
-// Walks a document without building it, and stops the walk at the depth limit.
+// Parses a document without building it, and stops at the depth limit.
 struct DepthGuard : nlohmann::json_sax<Json> {
     int depth = 0;
     bool enter() { return ++depth <= max_depth; }
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// MessagePack bodies: bounded decoding, encoding, and typed access to untrusted maps.
+// Encoding and decoding of MessagePack bodies with a limit on nesting, and typed access to untrusted maps.
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -10,14 +10,15 @@
 
 using Json = nlohmann::json;
 
-inline constexpr std::size_t max_body = 64 * 1024;
+inline constexpr std::size_t max_body = 64 * 1024;  // bytes of a request body
 
-// Decodes one MessagePack document. Nothing is returned for garbage, for trailing bytes and for nesting
-// deeper than any message of ours: the decoder recurses, so depth must be bounded before it builds anything.
+// Decodes one MessagePack document. Returns nothing if the document is invalid, is followed by more bytes, or
+// is nested deeper than any message of the protocol. The depth is checked before the document is built,
+// because the decoder recurses and deep nesting overflows the stack.
 std::optional<Json> decode(std::string_view body);
 std::string encode(const Json& value);
 
-// Typed reads that never throw; a field of the wrong type reads as absent.
+// Typed reads of a map's fields. They never throw; a field that is null or of another type counts as absent.
 const Json* find(const Json& map, std::string_view key);
 std::optional<std::string> text(const Json& map, std::string_view key);
 std::optional<double> amount(const Json& map, std::string_view key);  // finite numbers only
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -6,27 +6,27 @@
 namespace barrowrun::wire {
 namespace {
 
-constexpr std::pair<TaskState, const char*> state_words[] = {{TaskState::fetching, "pulling"},
+constexpr std::pair<TaskState, const char*> state_names[] = {{TaskState::fetching, "pulling"},
                                                              {TaskState::waiting, "waiting"},
                                                              {TaskState::running, "running"},
                                                              {TaskState::saving, "flushing"},
                                                              {TaskState::exited, "ended"}};
-constexpr std::pair<Cause, const char*> cause_words[] = {
+constexpr std::pair<Cause, const char*> cause_names[] = {
     {Cause::done, "done"},   {Cause::stopped, "stopped"}, {Cause::peers, "peers"},
     {Cause::alone, "alone"}, {Cause::error, "error"},     {Cause::no_room, "full"},
     {Cause::busy, "busy"},   {Cause::unknown, "unknown"}};
-constexpr std::pair<Verb, const char*> verb_words[] = {
+constexpr std::pair<Verb, const char*> verb_names[] = {
     {Verb::launch, "launch"}, {Verb::kill, "kill"}, {Verb::reap, "reap"}};
 
 template <class E, std::size_t N>
-const char* word_of(const std::pair<E, const char*> (&table)[N], E value) {
+const char* wire_name(const std::pair<E, const char*> (&table)[N], E value) {
     for (auto& [e, w] : table)
         if (e == value) return w;
     return "none";
 }
 
 template <class E, std::size_t N>
-std::optional<E> value_of(const std::pair<E, const char*> (&table)[N], const std::string& word) {
+std::optional<E> from_wire_name(const std::pair<E, const char*> (&table)[N], const std::string& word) {
     for (auto& [e, w] : table)
         if (word == w) return e;
     return std::nullopt;
@@ -46,10 +46,10 @@
 }
 
 const char* exit_cause_name(Cause cause) {
-    return word_of(cause_words, cause);
+    return wire_name(cause_names, cause);
 }
 const char* task_state_name(TaskState state) {
-    return word_of(state_words, state);
+    return wire_name(state_names, state);
 }
 
 std::optional<WorkerHeartbeat> parse_worker_heartbeat(const Json& body) {
@@ -75,11 +75,13 @@
         auto number = count(t, "try");
         if (!id || !number || !state) return std::nullopt;
         auto task = TaskId::parse(*id);
-        auto st = value_of(state_words, *state);
-        // A heartbeat is used as proof of absence, so one that is not understood whole is not used at all.
+        auto st = from_wire_name(state_names, *state);
+        // A task that a heartbeat doesn't list counts as gone, so a heartbeat with an invalid entry is
+        // rejected as a whole.
         if (!task || !st) return std::nullopt;
         TaskStatus status{{*task, *number}, *st, Cause::none, flag(t, "stored").value_or(false)};
-        if (auto why = text(t, "cause")) status.cause = value_of(cause_words, *why).value_or(Cause::error);
+        if (auto why = text(t, "cause"))
+            status.cause = from_wire_name(cause_names, *why).value_or(Cause::error);
         r.tasks.push_back(std::move(status));
     }
     return r;
@@ -106,7 +108,7 @@
 Json commands_json(const std::vector<Command>& commands) {
     Json out = Json::array();
     for (auto& c : commands) {
-        Json j{{"verb", word_of(verb_words, c.verb)},
+        Json j{{"verb", wire_name(verb_names, c.verb)},
                {"parcel", c.attempt.task.str()},
                {"try", c.attempt.number}};
         if (c.verb == Verb::kill) j["leeway_s"] = c.grace_s;
@@ -121,7 +123,7 @@
     if (!orders) return out;
     if (!orders->is_array()) return std::nullopt;
     for (const Json& o : *orders) {
-        auto verb = value_of(verb_words, text(o, "verb").value_or(""));
+        auto verb = from_wire_name(verb_names, text(o, "verb").value_or(""));
         auto task = TaskId::parse(text(o, "parcel").value_or(""));
         auto number = count(o, "try");
         if (!verb || !task || !number) return std::nullopt;
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The messages between workers and controllers, in the field's terms. The protocol's own words appear only
-// in the .cpp files of this package.
+// Typed messages between workers and controllers, and between controllers and the cloud. The field names of
+// the protocol appear only in the .cpp files of this folder.
 #include <compare>
 #include <cstdint>
 #include <functional>
@@ -20,7 +20,8 @@
     static std::optional<TaskId> parse(std::string_view s);
 };
 
-// One start of a task. Attempt numbers are never reused, so this names the start for good.
+// One start of a task. Attempt numbers are never reused, so an attempt is identified by task and number for
+// good.
 struct Attempt {
     TaskId task;
     std::uint64_t number = 0;
@@ -64,19 +65,19 @@
 std::optional<WorkerHeartbeat> parse_worker_heartbeat(const Json& body);
 Json worker_heartbeat_json(const WorkerHeartbeat& heartbeat);
 Json commands_json(const std::vector<Command>& commands);
-// Commands as a worker reads them, from an answer to a heartbeat or a push. Nothing for what isn't a list of
-// them.
+// Reads the commands from the answer to a heartbeat or from a push. No command list gives an empty list;
+// returns nothing if the list is invalid.
 std::optional<std::vector<Command>> parse_commands(const Json& body);
 std::optional<std::uint64_t> parse_fencing_token(const Json& body);
 std::optional<std::uint64_t> parse_agent_epoch(const Json& body);
 std::optional<std::string> parse_redirect(const Json& body);
 Json worker_heartbeat_answer(std::uint64_t fencing_token, const std::vector<Command>& commands);
 Json push_json(std::uint64_t fencing_token, std::uint64_t agent_epoch, const std::vector<Command>& commands);
-Json redirect_answer(const std::string& leader);  // empty: no leader known
+Json redirect_answer(const std::string& leader);  // `leader` is empty if none is known
 const char* exit_cause_name(Cause cause);
 const char* task_state_name(TaskState state);
 
-// Cloud messages.
+// Messages between controllers and the cloud.
 struct MachineType {
     std::string name;
     double cpus = 0, gpus = 0, mem_gb = 0, cache_gb = 0, fetch_gb_per_s = 0.1, price = 0, spot_price = 0,
@@ -91,14 +92,14 @@
 };
 struct MachineList {
     std::vector<ListedMachine> machines;
-    bool more = false;
+    bool more = false;  // the list is truncated: further pages follow
 };
 
 std::optional<std::vector<MachineType>> parse_types(const Json& body);
 Json types_json(const std::vector<MachineType>& types);
 std::optional<MachineList> parse_machine_list(const Json& body);
 std::optional<std::vector<std::string>> parse_machine_names(const Json& body);
-// As the cloud reads and answers.
+// The cloud's side of the messages: the request that it reads, and its answers.
 struct ProvisioningRequest {
     std::string request, type, zone;
     bool spot = false;
--- a/src/wire/submission.cpp
+++ b/src/wire/submission.cpp
@@ -11,13 +11,13 @@
     const char* word;
     E value;
 };
-constexpr Word<JobKind> sorts[] = {
+constexpr Word<JobKind> job_kind_names[] = {
     {"sweep", JobKind::array}, {"gang", JobKind::gang}, {"daemon", JobKind::service}};
-constexpr Word<Priority> ranks[] = {{"production", Priority::production},
-                                    {"urgent", Priority::high},
-                                    {"normal", Priority::normal},
-                                    {"low", Priority::low}};
-constexpr Word<JobState> job_state_words[] = {{"queued", JobState::queued},
+constexpr Word<Priority> priority_names[] = {{"production", Priority::production},
+                                             {"urgent", Priority::high},
+                                             {"normal", Priority::normal},
+                                             {"low", Priority::low}};
+constexpr Word<JobState> job_state_names[] = {{"queued", JobState::queued},
                                               {"running", JobState::running},
                                               {"done", JobState::done},
                                               {"withdrawn", JobState::cancelled},
@@ -85,11 +85,11 @@
         s.id = *id;
     take_text("docket", s.job_class);
     take_text("crew", s.team);
-    if (auto v = lookup(sorts, text(body, "sort").value_or("")))
+    if (auto v = lookup(job_kind_names, text(body, "sort").value_or("")))
         s.kind = *v;
     else
         bad("sort");
-    if (auto v = lookup(ranks, text(body, "rank").value_or("")))
+    if (auto v = lookup(priority_names, text(body, "rank").value_or("")))
         s.priority = *v;
     else
         bad("rank");
@@ -154,8 +154,8 @@
     Json out{{"name_id", s.id},
              {"docket", s.job_class},
              {"crew", s.team},
-             {"sort", word_for(sorts, s.kind)},
-             {"rank", word_for(ranks, s.priority)},
+             {"sort", word_for(job_kind_names, s.kind)},
+             {"rank", word_for(priority_names, s.priority)},
              {"parcels", s.tasks},
              {"vcpus", s.need.cpus},
              {"cards", s.need.gpus},
@@ -178,14 +178,14 @@
 }
 
 std::optional<Priority> priority_of(const std::string& word) {
-    return lookup(ranks, word);
+    return lookup(priority_names, word);
 }
 
 const char* job_state_name(JobState s) {
-    return word_for(job_state_words, s);
+    return word_for(job_state_names, s);
 }
 std::optional<JobState> parse_job_state(const std::string& word) {
-    return lookup(job_state_words, word);
+    return lookup(job_state_names, word);
 }
 
 Json status_json(const JobStatus& s) {
--- a/src/wire/submission.hpp
+++ b/src/wire/submission.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Jobs as users submit and see them.
+// Job submissions and job statuses, as users send and receive them.
 #include <optional>
 #include <string>
 #include <variant>
@@ -44,19 +44,20 @@
     bool one_zone = false, spread = false, spot_ok = false;
     double estimate_s = 0, checkpoint_s = 0, save_s = 0;
     std::optional<double> deadline_s;
-    // How often a task may fail and be tried again. One failure more ends the job as failed; absent: it is
-    // tried until its user cancels it. Ours, not the platform's.
+    // How often a task may fail and be retried; one more failure fails the job. Absent: tasks are retried
+    // until the user cancels the job. This field is an extension of the platform's protocol.
     std::optional<std::uint32_t> retries;
-    // Below the team, for nested quotas: "slips" or "slips/night"; empty: the team itself. Ours.
+    // Path of a project below the team, for nested quotas, such as "slips" or "slips/night". Empty: the team
+    // itself. This field is an extension of the platform's protocol.
     std::string project;
-    // Fields that this program doesn't know, as they came, up to a bound: a node of a newer program finds
-    // them in the record of a job that an older one accepted.
+    // Unknown fields of the submission, kept unchanged if they fit into `max_extra`: a node of a newer
+    // version finds them in the record of a job that a node of an older version accepted.
     Json extra;
 };
-inline constexpr std::size_t max_extra = 1024;  // bytes, as JSON
+inline constexpr std::size_t max_extra = 1024;  // bytes of the unknown fields as JSON
 
 bool valid_job_id(std::string_view id);
-// The job, or what is wrong with it in one line.
+// Returns the job, or one line that names the first missing or invalid field.
 std::variant<JobSpec, std::string> parse_submission(const Json& body);
 Json submission_json(const JobSpec& spec);
 
@@ -65,7 +66,7 @@
 const char* job_state_name(JobState s);
 std::optional<JobState> parse_job_state(const std::string& word);
 
-// The last failure of a job that counts them.
+// The last failed attempt of a job with limited retries.
 struct Failure {
     std::string task, machine;
     std::uint64_t attempt = 0;
@@ -81,7 +82,7 @@
     std::string id;
     JobState state = JobState::queued;
     std::uint64_t done = 0, running = 0;
-    std::optional<ErrorCount> errors;  // of jobs that set `retries`
+    std::optional<ErrorCount> errors;  // only for jobs that set `retries`
 };
 Json status_json(const JobStatus& s);
 std::optional<JobStatus> parse_status(const Json& body);
