--- a/tests/rooms_test.cpp
+++ b/tests/http_server_test.cpp
@@ -1,15 +1,18 @@
-// Which connections a server keeps when room is short, and what silent and slow peers can do to it.
+// Admission control of the HTTP server: which connections are evicted or refused at the connection limit, and
+// that peers which stop in the middle of a request don't block the server. Also the log lines about peers
+// that don't answer.
+#include "net/http_server.hpp"
+
 #include <gtest/gtest.h>
 
 #include "net/http_client.hpp"
-#include "net/http_server.hpp"
 #include "net/reach.hpp"
 
 using namespace barrowrun;
 using namespace barrowrun::net;
 using namespace std::chrono_literals;
 
-TEST(Rooms, ConnectionsThatNeverAskedGoFirst) {
+TEST(Rooms, AtTheLimitTheOldestConnectionWithoutARequestIsEvictedFirst) {
     Rooms rooms(4, 1, 1);
     auto worker = *rooms.arrive("10.0.0.1").id;
     rooms.request(worker, Caller::system);
@@ -23,22 +26,22 @@
     EXPECT_EQ(rooms.size(), 4u);
 }
 
-TEST(Rooms, IdleUsersGoBeforeIdleWorkersAndTheServedStay) {
+TEST(Rooms, IdleUsersAreEvictedBeforeIdleWorkersAndServedConnectionsAreKept) {
     Rooms rooms(3, 1, 1);
     auto worker = *rooms.arrive("w").id, user = *rooms.arrive("u").id, busy = *rooms.arrive("b").id;
     rooms.request(worker, Caller::system), rooms.answered(worker);
     rooms.request(user, Caller::user), rooms.answered(user);
     rooms.request(busy, Caller::user);
-    auto a = rooms.arrive("x");
-    EXPECT_EQ(a.evict, user);
-    rooms.request(*a.id, Caller::user);
-    auto b = rooms.arrive("y");
-    EXPECT_EQ(b.evict, worker);
-    rooms.request(*b.id, Caller::user);
+    auto first = rooms.arrive("x");
+    EXPECT_EQ(first.evict, user);
+    rooms.request(*first.id, Caller::user);
+    auto second = rooms.arrive("y");
+    EXPECT_EQ(second.evict, worker);
+    rooms.request(*second.id, Caller::user);
     EXPECT_FALSE(rooms.arrive("z").id);
 }
 
-TEST(Rooms, UsersLeaveAShareToWorkersAndHealthChecks) {
+TEST(Rooms, UsersOverTheirShareAreRefusedAndAWorkerIsStillAdmitted) {
     Rooms rooms(10, 0.8, 1);
     for (int i = 0; i < 8; ++i) EXPECT_TRUE(rooms.request(*rooms.arrive("lb").id, Caller::user).serve);
     auto ninth = *rooms.arrive("lb").id;
@@ -50,14 +53,14 @@
     EXPECT_EQ(rooms.users(), 8u);
 }
 
-TEST(Rooms, OneAddressCannotHoldAll) {
+TEST(Rooms, AnAddressAtItsLimitIsRefusedWhileAnotherIsAdmitted) {
     Rooms rooms(10, 1, 0.8);
     for (int i = 0; i < 8; ++i) rooms.request(*rooms.arrive("one").id, Caller::user);
     EXPECT_FALSE(rooms.arrive("one").id);
     EXPECT_TRUE(rooms.arrive("two").id);
 }
 
-TEST(Reach, SaysSoOnceAndThenAtGrowingIntervals) {
+TEST(Reach, AnOutageIsReportedAtGrowingIntervalsAndItsEndOnce) {
     Reach reach("the cloud");
     TimePoint t = TimePoint{} + 100s;
     EXPECT_FALSE(reach.note(true, t));
@@ -74,10 +77,11 @@
 
 namespace {
 
-struct Running {
+struct RunningServer {
     asio::io_context io;
     HttpServer server;
-    explicit Running(std::size_t most, ServerTimes times = {}) : server(io, most, times) {
+    explicit RunningServer(std::size_t max_connections, ServerTimes times = {})
+        : server(io, max_connections, times) {
         server.listen("127.0.0.1:0");
         asio::co_spawn(io,
                        server.serve([](Request) -> Task<Response> { co_return Response{}; },
@@ -86,17 +90,17 @@
                                     }),
                        asio::detached);
     }
-    std::vector<asio::ip::tcp::socket> peers;
-    // A peer that sends half a header and stops.
-    void half(const char* from) {
+    std::vector<asio::ip::tcp::socket> sockets;
+    // Connects from the given address, sends half a header and stops.
+    void send_half_header(const char* from) {
         asio::ip::tcp::socket s(io);
         s.open(asio::ip::tcp::v4());
         s.bind({asio::ip::make_address(from), 0});
         s.connect(*parse_endpoint(server.address()));
         asio::write(s, asio::buffer(std::string("GET /healthz HTTP/1.1\r\nHost: x")));
-        peers.push_back(std::move(s));
+        sockets.push_back(std::move(s));
     }
-    int ask(const char* target) {
+    int get_status(const char* target) {
         HttpClient client(io);
         int status = -1;
         auto call = [](HttpClient* c, std::string to, std::string what, int* out) -> Task<> {
@@ -111,22 +115,22 @@
 
 }  // namespace
 
-TEST(HttpServer, PeersThatStopInTheMiddleKeepNobodyOut) {
-    Running r(40);
+TEST(HttpServer, ConnectionsThatStopMidRequestDoNotBlockOtherClients) {
+    RunningServer running(40);
     for (int i = 0; i < 120; ++i) {
-        r.half(i % 2 ? "127.0.0.2" : "127.0.0.3");
-        r.io.run_for(1ms);
+        running.send_half_header(i % 2 ? "127.0.0.2" : "127.0.0.3");
+        running.io.run_for(1ms);
     }
-    EXPECT_LE(r.server.connections(), 40u);
-    EXPECT_EQ(r.ask("/healthz"), 200);
-    EXPECT_EQ(r.ask("/submissions/wk-1"), 200);
+    EXPECT_LE(running.server.connections(), 40u);
+    EXPECT_EQ(running.get_status("/healthz"), 200);
+    EXPECT_EQ(running.get_status("/submissions/wk-1"), 200);
 }
 
-TEST(HttpServer, AStartedRequestHasSeconds) {
-    Running r(40, {1s, 1s, 5s, 1s});
-    r.half("127.0.0.1");
-    r.io.run_for(100ms);
-    EXPECT_EQ(r.server.connections(), 1u);
-    r.io.run_for(1500ms);
-    EXPECT_EQ(r.server.connections(), 0u);
+TEST(HttpServer, AConnectionIsClosedWhenItsRequestIsNotCompleteWithinTheRequestTimeout) {
+    RunningServer running(40, {1s, 1s, 5s, 1s});
+    running.send_half_header("127.0.0.1");
+    running.io.run_for(100ms);
+    EXPECT_EQ(running.server.connections(), 1u);
+    running.io.run_for(1500ms);
+    EXPECT_EQ(running.server.connections(), 0u);
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,4 @@
+// Reading of submissions and worker heartbeats, and the limits of the MessagePack decoder.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -8,21 +9,21 @@
 using namespace barrowrun::wire;
 
 namespace {
-Json good() {
+Json valid_submission() {
     return Json{{"name_id", "wk-000412"}, {"docket", "train"},  {"crew", "vision"}, {"sort", "gang"},
                 {"rank", "urgent"},       {"parcels", 16},      {"vcpus", 8.0},     {"cards", 1.0},
                 {"mem_gb", 64.0},         {"cargo", "img-07"},  {"image_gb", 6.2},  {"builds", {"g8"}},
                 {"yard", nullptr},        {"same_place", true}, {"spread", false},  {"loaners", true},
                 {"haul_s", 240.0},        {"waymark_s", 30.0},  {"stow_s", 4.0},    {"due_s", 900.0}};
 }
-bool valid(const Json& j) {
+bool is_accepted(const Json& j) {
     return std::holds_alternative<JobSpec>(parse_submission(j));
 }
 }  // namespace
 
-TEST(Submission, TakesWhatTheProtocolShowsAndSurvivesARoundTrip) {
-    ASSERT_TRUE(valid(good()));
-    auto spec = std::get<JobSpec>(parse_submission(good()));
+TEST(Submission, AValidSubmissionIsParsedAndUnchangedByARoundTrip) {
+    ASSERT_TRUE(is_accepted(valid_submission()));
+    auto spec = std::get<JobSpec>(parse_submission(valid_submission()));
     EXPECT_EQ(spec.kind, JobKind::gang);
     EXPECT_EQ(spec.priority, Priority::high);
     EXPECT_EQ(spec.tasks, 16u);
@@ -32,14 +33,14 @@
     EXPECT_EQ(submission_json(again), submission_json(spec));
 }
 
-TEST(Submission, NullableFieldsMayBeLeftOutAndUnknownOnesAreIgnored) {
-    auto j = good();
+TEST(Submission, NullableFieldsMayBeAbsentAndUnknownFieldsAreAccepted) {
+    auto j = valid_submission();
     j.erase("builds"), j.erase("yard"), j.erase("due_s");
     j["novelty"] = {{"a", 1}};
-    EXPECT_TRUE(valid(j));
+    EXPECT_TRUE(is_accepted(j));
 }
 
-TEST(Submission, RefusesEveryInvalidField) {
+TEST(Submission, ASubmissionWithAnInvalidFieldIsRejected) {
     const double inf = std::numeric_limits<double>::infinity(), nan = std::nan("");
     const std::vector<std::pair<const char*, Json>> table = {
         {"name_id", "000412"}, {"name_id", "wk-"},   {"name_id", "wk-12/3"},
@@ -54,37 +55,37 @@
         {"waymark_s", -1},     {"stow_s", nullptr},  {"due_s", -5.0},
         {"due_s", inf}};
     for (auto& [field, value] : table) {
-        auto j = good();
+        auto j = valid_submission();
         j[field] = value;
-        EXPECT_FALSE(valid(j)) << field << " = " << value.dump();
+        EXPECT_FALSE(is_accepted(j)) << field << " = " << value.dump();
     }
-    EXPECT_FALSE(valid(Json::array()));
-    EXPECT_FALSE(valid(Json("text")));
+    EXPECT_FALSE(is_accepted(Json::array()));
+    EXPECT_FALSE(is_accepted(Json("text")));
 }
 
-// Guards against a stack overflow: the MessagePack decoder recurses.
-TEST(Codec, RefusesDeepNestingBeforeBuildingIt) {
+// The MessagePack decoder recurses, so deep nesting would overflow the stack.
+TEST(Codec, DeepNestingIsRejectedBeforeTheDocumentIsBuilt) {
     EXPECT_FALSE(decode(std::string(60'000, '\x91')));
     std::string maps;
     for (int i = 0; i < 20'000; ++i) maps += "\x81\xa1k";
     EXPECT_FALSE(decode(maps));
 }
 
-// Guards against allocating what a header merely declares.
-TEST(Codec, RefusesHugeDeclaredLengths) {
+// A header of five bytes may declare 2^32 - 1 elements, which the decoder must not allocate in advance.
+TEST(Codec, ADeclaredLengthBeyondTheBodyIsRejected) {
     EXPECT_FALSE(decode(std::string("\xdd\xff\xff\xff\xff", 5)));
     EXPECT_FALSE(decode(std::string("\xdf\xff\xff\xff\xff", 5)));
     EXPECT_FALSE(decode(std::string("\xdb\xff\xff\xff\xff", 5)));
 }
 
-TEST(Codec, RefusesGarbageAndTrailingBytes) {
+TEST(Codec, InvalidBytesAndTrailingBytesAreRejected) {
     EXPECT_FALSE(decode(""));
     EXPECT_FALSE(decode("\xc1"));
-    EXPECT_FALSE(decode(encode(good()) + "x"));
-    EXPECT_TRUE(decode(encode(good())));
+    EXPECT_FALSE(decode(encode(valid_submission()) + "x"));
+    EXPECT_TRUE(decode(encode(valid_submission())));
 }
 
-TEST(WorkerHeartbeat, IsReadWholeOrNotAtAll) {
+TEST(WorkerHeartbeat, AHeartbeatWithAnInvalidTaskOrWithoutASequenceNumberIsRejectedAsAWhole) {
     Json j{{"barrow", "n-1"},
            {"endpoint", "10.1.0.1:9"},
            {"build", "g8"},
@@ -105,7 +106,7 @@
     EXPECT_EQ(r->tasks[0].attempt.task.str(), "wk-1/3");
     EXPECT_EQ(r->tasks[0].cause, Cause::stopped);
     EXPECT_TRUE(r->tasks[0].checkpointed);
-    // Absence from a report is proof, so a task that can't be read must not be dropped from it.
+    // A task that a heartbeat doesn't list counts as gone, so an invalid entry must not just be skipped.
     j["parcels"][0]["standing"] = "dreaming";
     EXPECT_FALSE(parse_worker_heartbeat(j));
     j["parcels"][0]["standing"] = "running";
