--- a/src/api/cell_delegations.cpp
+++ b/src/api/cell_delegations.cpp
@@ -154,7 +154,7 @@
     if (digest)
         offload_planner_.on_digest(cell, std::move(*digest), sent, Clock::now());
     else if (node_of(cell) == node)
-        ++node_index_[cell];  // this node does not lead its cell, or is unreachable: the next one is asked
+        ++node_index_[cell];  // the asked node is unreachable or not its cell's leader: the next one is asked
 }
 
 void CellDelegations::offload_waiting_tasks(TimePoint now) {
@@ -202,7 +202,7 @@
     if (shard.origin.expire(day_now(), host_.max_clock_error))
         spdlog::warn(
             "job {}: shard reclaimed at its deadline from cell {}, which does not reply; {} of {} tasks "
-            "known done",
+            "are known to be done",
             id, shard.to, shard.origin.done().size(), shard.origin.record().tasks.size());
     auto next = shard.origin.next_action();
     if (auto* write = std::get_if<cells::DelegationOrigin::Write>(&next)) {
--- a/src/api/leader.cpp
+++ b/src/api/leader.cpp
@@ -58,7 +58,7 @@
           {cluster_, services.state, [this](fleet::Machine& machine) { dispatcher_.probe(machine); },
            [this](const std::string& machine) { dispatcher_.fence(machine); },
            [this](std::vector<std::string> machines) {
-               provisioner_.return_machines("return of silent machines", std::move(machines),
+               provisioner_.return_machines("return of silent machines to the cloud", std::move(machines),
                                             ReturnReason::prove_empty);
            }}),
       renewal_period_(
--- a/src/api/provisioner.cpp
+++ b/src/api/provisioner.cpp
@@ -69,7 +69,8 @@
             std::vector<std::string> failed;
             for (auto& listed : list->machines) reconcile(listed, now, failed);
             if (!failed.empty())
-                return_machines("return of failed machines", std::move(failed), ReturnReason::not_needed);
+                return_machines("return of failed machines to the cloud", std::move(failed),
+                                ReturnReason::not_needed);
         }
         const auto rate = services_.settings.cloud_requests_per_s;
         co_await net::sleep_for(secs(std::max(min_list_interval_s, requests_per_list / rate)));
@@ -145,7 +146,7 @@
     }
     if (idle.empty()) return;
     spdlog::info("scale in: returning {} idle machines, the first is {}", idle.size(), idle.front());
-    return_machines("return of idle machines", std::move(idle), ReturnReason::not_needed);
+    return_machines("return of idle machines to the cloud", std::move(idle), ReturnReason::not_needed);
 }
 
 void Provisioner::request_machines(const autoscaler::MachineOrder& order) {
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -17,7 +17,8 @@
 // A machine that has not come up after this multiple of its boot time plus the margin is taken to have failed
 // to boot. A machine that this leader has just learned of gets some time to report first.
 constexpr double failed_boot_factor = 2.5, failed_boot_margin_s = 5, min_known_s = 15;
-// A machine with more replicas than this, or provisioned less than this long ago, is not drained.
+// A machine is not drained if it has more than `max_drained_replicas` replicas, or was provisioned less than
+// `min_drain_age_s` ago.
 constexpr std::size_t max_drained_replicas = 16;
 constexpr double min_drain_age_s = 90;
 // A replica counts as started for its objective only if it isn't stopped within this time.
--- a/src/election/lease_voter.hpp
+++ b/src/election/lease_voter.hpp
@@ -17,8 +17,9 @@
 // answered a heartbeat, sent after the start of this process, that it does not lead. This is safe: a vote
 // binds this node only towards the process that led when the vote was granted, and is void once that process
 // has ended or no longer leads, because lost leadership can only be regained through the state service and
-// then relies on new votes alone. If all nodes are killed at once, the wait ends when the last of them is
-// back, up to 2.5 s earlier. A node that has not answered may be the leader, so the wait continues.
+// then relies on new votes alone. If all nodes are killed at once, the wait ends when the last of them has
+// restarted and answered, up to 2.5 s before the votes of the predecessor have certainly expired. A node that
+// has not answered may be the leader, so the wait continues.
 class LeaseVoter {
   public:
     // `start`: when this process started; `max_vote`: the longest vote that its predecessor may have granted;
--- a/src/placement/delegation.cpp
+++ b/src/placement/delegation.cpp
@@ -48,7 +48,8 @@
         if (!done.contains(i)) progress.done.erase(i);
     });
     Job& job = add_job(record, &progress, now, wall_ms);
-    // add_job() has marked a shard whose tasks are all done for writing, as it does with a job of this cell.
+    // Only the origin cell writes the record of the job's progress. If all tasks of the shard are done,
+    // add_job() has added the job to the pending writes, from which it is removed here.
     job.runs_for_origin_cell = true;
     pending_jobs_.erase(record.spec.id);
     changed_delegated_shards_.insert(record.spec.id);
--- a/src/placement/failure_attribution.cpp
+++ b/src/placement/failure_attribution.cpp
@@ -59,7 +59,8 @@
     }
     if (!machine_at_fault) return;
     spdlog::warn(
-        "machine {}: quarantined after {} consecutive task failures; it is returned once it is empty",
+        "machine {}: quarantined after {} consecutive task failures; it will be returned to the cloud once "
+        "it is empty, or get a trial task if its tasks keep running",
         machine.name, machine.errors);
     machine.quarantined_since = now;
 }
--- a/src/placement/starvation_monitor.hpp
+++ b/src/placement/starvation_monitor.hpp
@@ -21,7 +21,7 @@
         Clock::duration half_life = std::chrono::minutes(5);
         // Share of served jobs, out of the jobs that were served or should have been served by now.
         double at_risk_below = 0.65, starved_below = 0.5, healthy_from = 0.75;
-        // A group with fewer jobs counts as healthy: its share says nothing yet.
+        // A group with fewer jobs counts as healthy: too few to judge it by its share of served jobs.
         double min_jobs = 4;
         // Classes and teams that are remembered. The number is bounded as users choose the names of classes.
         std::size_t max_groups = 512;
--- a/src/queue/job_queue.hpp
+++ b/src/queue/job_queue.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Waiting jobs: one first-come, first-served queue per priority level (thesis 3.2, 3.3). A job is in the
-// queue of its level while any of its tasks waits. It keeps its position when none of its tasks fits (the
-// thesis swaps it back).
+// Waiting jobs: one first-come, first-served queue per priority level. A job is in the queue of its level
+// while any of its tasks waits. The design follows the scheduler of the Bolt thesis (sections 3.2 and 3.3),
+// and differs from it in that a job keeps its position when none of its tasks fits.
 #include <array>
 #include <cstdint>
 #include <set>
--- a/src/quota/reclaim_state.hpp
+++ b/src/quota/reclaim_state.hpp
@@ -50,7 +50,8 @@
     // may not be preempted for the request's account in the current state.
     bool release(std::size_t candidate);
     void restore(std::size_t candidate);
-    // Releases all of the candidates or none of them.
+    // Calls release() for all of the candidates. If one of them is already a victim or spared, or may not be
+    // preempted, restores those released before it and returns false.
     bool release_all(const std::vector<std::size_t>& candidates);
     // Makes released candidates victims and adds their resources to the free capacity.
     void preempt(const std::vector<std::size_t>& released);
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -81,7 +81,7 @@
 
 // Machines that were provisioned for tasks that fit into slots of ending tasks came up only to stand idle. A
 // late job gets additional machines nevertheless.
-TEST(Autoscaler, SlotsFreedBeforeABootAreCountedUnlessTheJobIsLate) {
+TEST(Autoscaler, SlotsFreedBeforeAMachineCouldBootReplaceNewMachinesUnlessTheJobIsLate) {
     placement::Config config;
     config.teams["crew"] = {};
     config.headroom_min = config.headroom_max = 0;
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -137,7 +137,8 @@
     f.add(f.spec("wk-1"));
     f.place_all();
     auto sent = f.cluster->push_commands(f.machine("n-1"), f.now);
-    f.cluster->push_answered(f.machine("n-1"), sent, 10, false, false, f.now);  // 409
+    // The worker refused the push with HTTP status 409: it executed none of the commands.
+    f.cluster->push_answered(f.machine("n-1"), sent, 10, false, false, f.now);
     EXPECT_EQ(f.cluster->push_commands(f.machine("n-1"), f.now).size(), 1u);
 }
 
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -31,7 +31,7 @@
     EXPECT_FALSE(reachability.cut_off(start + 40s, 1000)) << "the last forwarded heartbeat is too old";
 }
 
-TEST(WorkerRedirects, HeartbeatsOfAWorkerThatComesBackAreForwardedForAWhile) {
+TEST(WorkerRedirects, WorkerThatComesBackIsNotRedirectedAgainFor30SecondsUnlessForwardingFails) {
     WorkerRedirects redirects;
     EXPECT_TRUE(redirects.should_redirect("b", "n-1", start));
     EXPECT_FALSE(redirects.should_redirect("b", "n-1", start + 6s));
--- a/tests/service_clients_test.cpp
+++ b/tests/service_clients_test.cpp
@@ -160,7 +160,7 @@
 
 // Guards against a user's submission that waits behind the leader's own writes, which wait for seconds while
 // the fleet is busy.
-TEST(StateClient, ChargeOnlyWriteIsSentAtOnceAndDelaysLaterWrites) {
+TEST(StateClient, WriteForAWaitingUserIsSentWithoutDelayButDelaysLaterWrites) {
     ScriptedServer service;
     service.answer(200, {{"ledger", 12}});
     state::StateClient client(service.io, service.address(), 100, 10);
@@ -181,7 +181,7 @@
 
 // A user is told that a job is unknown when its key is absent, so a 404 that does not come from the state
 // service itself, which always adds its revision, must not count.
-TEST(StateClient, KeyIsAbsentOnlyIfTheAnswerHasTheRevisionOfTheService) {
+TEST(StateClient, KeyCountsAsAbsentOnlyIfTheAnswerHasTheRevisionOfTheService) {
     auto read_key = [](ScriptedServer& service) {
         state::StateClient client(service.io, service.address(), 100, 100);
         return service
@@ -201,7 +201,7 @@
 // Guards against followers that watch from the leader key's own version: 10,000 changes after the election
 // the state service refuses each such watch as too old, and each follower repeats it without a pause, 50
 // times a second.
-TEST(Election, FollowerOfAnOldLeaderKeyWatchesFromTheCurrentRevision) {
+TEST(Election, FollowerWatchesTheLeaderKeyFromTheCurrentRevisionHoweverOldItsLastChange) {
     ScriptedServer service;
     int requests = 0;
     bool refused = false;
