--- a/bench/cells_bench.cpp
+++ b/bench/cells_bench.cpp
@@ -52,7 +52,7 @@
                            {4, 0, 4},
                            50,
                            std::chrono::minutes(1)});
-    for (auto _ : state) benchmark::DoNotOptimize(planner.choose(settings, waiting, now, 32));
+    for (auto _ : state) benchmark::DoNotOptimize(planner.plan_offers(settings, waiting, now, 32));
 }
 BENCHMARK(choose)->Arg(10)->Arg(1000)->Unit(benchmark::kMicrosecond);
 
--- a/bench/quota_bench.cpp
+++ b/bench/quota_bench.cpp
@@ -40,7 +40,7 @@
         auto lines = tree(nodes);
         if (nodes) rules.quotas = lines;
         cluster = std::make_unique<placement::Cluster>(rules);
-        cluster->lead(10, now);
+        cluster->set_fencing_token(10, now);
         cluster->set_types({{"small", 4, 0, 32, 30, 0.5, 1.0, 0.2, 25, {"a"}}});
         seq.resize(machines);
         for (std::size_t i = 0; i < machines; ++i) heartbeat(i, false);
@@ -69,7 +69,7 @@
     }
     void write() {
         for (auto& w : cluster->take_writes(100'000, 1 << 30, now, 0))
-            if (w.durable) w.durable();
+            if (w.on_durable) w.on_durable();
     }
     // All that is on the machine runs; the first of it ends if asked for.
     void heartbeat(std::size_t i, bool end) {
--- a/bench/quota_day.cpp
+++ b/bench/quota_day.cpp
@@ -145,7 +145,7 @@
     }
     void lead() {
         cluster_ = std::make_unique<placement::Cluster>(rules_);
-        cluster_->lead(++fencing_token_, now_);
+        cluster_->set_fencing_token(++fencing_token_, now_);
         cluster_->set_types({{"kiosk", cpus_each, 0, 32, 30, 0.5, 1.0, 0.2, 25, {"a"}}});
         cluster_->set_quotas(tree_, changed_, 60);
         for (auto& [key, value] : records_)
@@ -241,7 +241,7 @@
                     records_[w.key] = *w.value;
                 else
                     records_.erase(w.key);
-                if (w.durable) w.durable();
+                if (w.on_durable) w.on_durable();
             }
         }
     }
--- a/src/api/cell_delegations.cpp
+++ b/src/api/cell_delegations.cpp
@@ -173,7 +173,8 @@
             waiting.push_back({entry.id, job->spec.team, job->spec.kind, job->spec.need, job->waiting.size(),
                                now - job->accepted});
         }
-    for (auto& decision : offload_planner_.choose(settings_, waiting, now, max_open_delegations - open)) {
+    for (auto& decision :
+         offload_planner_.plan_offers(settings_, waiting, now, max_open_delegations - open)) {
         auto* job = cluster.find_job(decision.job);
         auto tasks = cluster.delegate(*job, decision.tasks);
         if (tasks.empty()) continue;
--- a/src/api/command_dispatcher.cpp
+++ b/src/api/command_dispatcher.cpp
@@ -36,7 +36,7 @@
     auto now = Clock::now();
     for (auto& name : host_.cluster.take_machines_with_commands()) {
         auto* machine = host_.cluster.find_machine(name);
-        if (!machine || machine->pushing || !machine->push_reachable || !machine->up ||
+        if (!machine || machine->push_in_flight || !machine->push_reachable || !machine->up ||
             machine->address.empty() || machine->returning)
             continue;
         if (launch_ready(*machine) || kill_due(*machine, now))
@@ -70,12 +70,12 @@
     auto& cluster = host_.cluster;
     for (int round = 0; round < max_rounds; ++round) {
         auto* machine = cluster.find_machine(name);
-        if (!machine || machine->pushing || machine->returning || machine->address.empty() ||
+        if (!machine || machine->push_in_flight || machine->returning || machine->address.empty() ||
             !host_.may_act())
             co_return;
         auto now = Clock::now();
         const auto fencing_token = services_.election.fencing_token();
-        cluster.lead(fencing_token, host_.acquired);
+        cluster.set_fencing_token(fencing_token, host_.acquired);
         const auto agent_epoch = machine->agent_epoch;
         auto address = machine->address;
         std::vector<wire::Command> commands;
@@ -83,13 +83,13 @@
         for (auto& command : commands)
             if (command.verb == wire::Verb::kill) machine->assignments.at(command.attempt).stop_sent = now;
         if (commands.empty() && purpose != Purpose::fence) co_return;
-        machine->pushing = true;
+        machine->push_in_flight = true;
         auto reply = co_await services_.workers.call(address, verb::post, "/commands",
                                                      wire::push_json(fencing_token, agent_epoch, commands),
                                                      command_deadline);
         machine = cluster.find_machine(name);
         if (!machine) co_return;
-        machine->pushing = false;
+        machine->push_in_flight = false;
         now = Clock::now();
         const bool executed = reply.status == 200;
         const bool may_execute = reply.status == 0 && reply.may_execute;
@@ -114,7 +114,7 @@
             spdlog::info("machine {}: no response at its address, commands wait for its heartbeats",
                          machine.name);
         machine.push_reachable = false;
-        machine.probed = now;
+        machine.last_probe = now;
         return NextStep::done;
     }
     machine.push_reachable = true;
@@ -145,7 +145,7 @@
 }
 
 void CommandDispatcher::probe(fleet::Machine& machine) {
-    machine.probing = true;
+    machine.probe_in_flight = true;
     host_.spawn("probe of machine " + machine.name, request_status(machine.name));
 }
 
@@ -156,7 +156,7 @@
                                                  status_deadline);
     machine = host_.cluster.find_machine(name);
     if (!machine) co_return;
-    machine->probing = false;
+    machine->probe_in_flight = false;
     auto heartbeat = reply.status == 200 ? wire::parse_worker_heartbeat(reply.body) : std::nullopt;
     if (!heartbeat || heartbeat->machine != name) {
         machine->missed_probes++;
--- a/src/api/leader.cpp
+++ b/src/api/leader.cpp
@@ -35,7 +35,7 @@
 Leader::Leader(Services services, std::uint64_t fencing_token, TimePoint acquired)
     : services_(services),
       cluster_(services.settings.placement),
-      duties_(services.io),
+      coroutines_(services.io),
       placement_signal_(services.io),
       acquired_(acquired),
       record_writer_(services, {cluster_, acquired, [this] { return may_act(); },
@@ -65,7 +65,7 @@
           leases::renewal_period(services.settings.placement.lease_s, services.settings.placement.cancel_s)),
       // Needed even if this leader grants no renewals: the settings of a predecessor may have allowed them.
       renewal_bound_(services.settings.member_names(), renewal_period_, acquired, fencing_token) {
-    cluster_.lead(fencing_token, acquired);
+    cluster_.set_fencing_token(fencing_token, acquired);
     cluster_.set_types(services_.catalog);
     if (!services_.settings.cells) return;
     cell_delegations_ = std::make_unique<CellDelegations>(
@@ -75,7 +75,8 @@
             [this] { record_writer_.wake(); }, [this] { placement_signal_.wake(); },
             [this](std::string name, Task<> duty) { spawn(std::move(name), std::move(duty)); },
             services_.settings.max_clock_error,
-            std::chrono::ceil<std::chrono::milliseconds>(longer(secs(services_.settings.placement.cancel_s))),
+            std::chrono::ceil<std::chrono::milliseconds>(
+                upper_bound_with_drift(secs(services_.settings.placement.cancel_s))),
             std::chrono::floor<std::chrono::milliseconds>(renewal_period_)});
 }
 
@@ -89,7 +90,7 @@
 std::optional<leases::RenewalGrant> Leader::node_heartbeat(const std::string& node,
                                                            const leases::Heartbeat& heartbeat) {
     auto granted = grant();
-    renewal_bound_.heard(node, heartbeat, Clock::now(), granted.has_value());
+    renewal_bound_.record_heartbeat(node, heartbeat, Clock::now(), granted.has_value());
     return granted;
 }
 
@@ -99,7 +100,7 @@
 
 void Leader::stop() {
     stopped_ = true;
-    duties_.cancel();
+    coroutines_.cancel();
 }
 
 // ---- jobs ----------------------------------------------------------------------------------------------
@@ -232,7 +233,7 @@
     worker_monitor_.heartbeat_received(now, direct);
     auto fencing_token = services_.election.fencing_token();
     if (!recovered_) co_return renew_before_recovery(heartbeat, now);
-    cluster_.lead(fencing_token, acquired_);
+    cluster_.set_fencing_token(fencing_token, acquired_);
     bool newer = cluster_.on_heartbeat(heartbeat, true, now);
     auto* m = cluster_.find_machine(heartbeat.machine);
     if (!m) co_return not_entitled();
@@ -308,7 +309,7 @@
     InFlight refreshing(refreshing_fencing_token_);
     const bool refreshed = co_await services_.election.refresh_fencing_token();
     if (refreshed) {
-        cluster_.lead(services_.election.fencing_token(), acquired_);
+        cluster_.set_fencing_token(services_.election.fencing_token(), acquired_);
         for (auto& [name, machine] : cluster_.machines()) {
             bool unanswered = false;
             for (auto& [attempt, assignment] : machine->assignments)
@@ -326,9 +327,9 @@
         const auto now = Clock::now();
         worker_monitor_.note_delay(due, now);
         if (!may_act()) continue;
-        cluster_.lead(services_.election.fencing_token(), acquired_);
+        cluster_.set_fencing_token(services_.election.fencing_token(), acquired_);
         const bool tasks_gone = cluster_.tick(
-            now, [&](const std::string& zone) { return renewal_bound_.latest_renewal(zone, now); });
+            now, [&](const std::string& zone) { return renewal_bound_.latest_possible_renewal(zone, now); });
         if (worker_monitor_.check(now) == WorkerMonitor::Contact::lost) {
             services_.election.step_down(step_down_pause);
             co_return;
@@ -353,12 +354,12 @@
     for (auto& finding : cluster_.check_starvation(now)) {
         if (finding.state == State::healthy)
             spdlog::info("{}: {:.0f} % of its jobs are served, no longer at risk of starvation",
-                         finding.group, 100 * finding.share);
+                         finding.group, 100 * finding.served_share);
         else
             spdlog::warn(
                 "{}: {}, {:.0f} % of its jobs are served, {:.0f} late jobs should have started by now",
                 finding.group, finding.state == State::starved ? "starved" : "at risk of starvation",
-                100 * finding.share, finding.waiting);
+                100 * finding.served_share, finding.overdue_jobs);
     }
 }
 
--- a/src/api/leader.hpp
+++ b/src/api/leader.hpp
@@ -69,10 +69,10 @@
     Task<state::Snapshot> read_snapshot();
     Task<> recover_catalog();
     Task<std::size_t> recover_jobs(const state::Snapshot& records, TimePoint now, std::int64_t wall,
-                                   net::Slices& slices);
-    Task<> recover_machines(const state::Listing& shards, std::int64_t wall, net::Slices& slices);
+                                   net::TimeSlicer& slicer);
+    Task<> recover_machines(const state::Listing& shards, std::int64_t wall, net::TimeSlicer& slicer);
     void recover_provisioning_requests(const state::Listing& requests);
-    Task<> apply_pending_heartbeats(TimePoint now, net::Slices& slices);
+    Task<> apply_pending_heartbeats(TimePoint now, net::TimeSlicer& slicer);
     void fence_known_workers(TimePoint now);
     void start_loops();
     Response renew_before_recovery(const wire::WorkerHeartbeat& heartbeat, TimePoint now);
@@ -85,7 +85,7 @@
     Task<> refresh_fencing_token();
     void log_starvation(TimePoint now);
     void spawn(std::string name, Task<> coroutine) {
-        duties_.spawn(std::move(name), shared_from_this(), std::move(coroutine));
+        coroutines_.spawn(std::move(name), shared_from_this(), std::move(coroutine));
     }
     void wake_writes_if_any() {
         if (cluster_.has_writes()) record_writer_.wake();
@@ -94,7 +94,7 @@
 
     Services services_;
     placement::Cluster cluster_;
-    net::Duties duties_;
+    net::CoroutineGroup coroutines_;
     net::Signal placement_signal_;
     TimePoint acquired_;
     bool recovered_ = false, stopped_ = false, refreshing_fencing_token_ = false;
--- a/src/api/node.cpp
+++ b/src/api/node.cpp
@@ -17,7 +17,7 @@
         election::Peer peer;
         peer.name = member.name;
         peer.address = member.address;
-        peer.reach = net::Reach("node " + member.name);
+        peer.outage_log = net::OutageLog("node " + member.name);
         peers.push_back(std::move(peer));
     }
     return peers;
@@ -42,12 +42,12 @@
         auto now = Clock::now();
         // A valid leader lease counts as contact with the leader, because a successor's term begins later.
         if (auto* leader = acting_leader())
-            if (auto grant = leader->grant()) renewer_.leads(now, std::move(*grant));
+            if (auto grant = leader->grant()) renewer_.record_own_leadership(now, std::move(*grant));
         return leases::to_json(renewer_.heartbeat(now));
     };
     election_.on_grant = [this](TimePoint sent, const Json& value) {
         if (auto grant = leases::parse_renewal_grant(value))
-            renewer_.granted(sent, Clock::now(), std::move(*grant));
+            renewer_.record_grant(sent, Clock::now(), std::move(*grant));
     };
     election_.on_leadership_acquired = [this](std::uint64_t fencing_token, TimePoint acquired) {
         Services services{io_, settings_, state_, cloud_, workers_, peers_, election_, catalog_, renewer_};
--- a/src/api/provisioner.cpp
+++ b/src/api/provisioner.cpp
@@ -83,14 +83,14 @@
     if (listed.state == Listed::State::failed) {
         if (machine && !machine->returning) {
             machine->returning = true;
-            cluster.machine_gone(listed.name, "listed as failed", now);
+            cluster.remove_machine(listed.name, "listed as failed", now);
         }
         failed.push_back(listed.name);
         return;
     }
     if (!machine) {
         // The machine was provisioned late by a request of an earlier leader, or it was just returned.
-        if (cluster.is_gone(listed.name)) return;
+        if (cluster.is_removed(listed.name)) return;
         spdlog::info("machine {}: listed by the cloud but unknown, added with type {} in zone {}",
                      listed.name, listed.type, listed.zone);
         machine = &cluster.add_machine(listed.name, listed.type, listed.zone, listed.spot, now);
@@ -174,7 +174,7 @@
         }
         // If another request has shown that no such machine is available, the rate budget is left to other
         // requests. Only a request that was never sent may be dropped.
-        if (attempt == Attempt::first && autoscaler_.refuses(offer, Clock::now())) break;
+        if (attempt == Attempt::first && autoscaler_.is_backing_off(offer, Clock::now())) break;
         attempt = Attempt::repeat;
         auto sent = Clock::now();
         auto result =
@@ -184,16 +184,16 @@
                          request, result.machines.size(), record.count, record.type, record.zone, spot);
             add_machines(result.machines, record, sent);
             if (static_cast<int>(result.machines.size()) < record.count)
-                autoscaler_.refused(offer, Clock::now());
+                autoscaler_.on_order_refused(offer, Clock::now());
             else
-                autoscaler_.granted(offer);
+                autoscaler_.on_order_granted(offer);
             break;
         }
         if (result.outcome == fleet::ProvisioningOutcome::no_capacity ||
             result.outcome == fleet::ProvisioningOutcome::refused) {
             spdlog::info("provisioning request {}: no machine of type {} available in zone {}{}", request,
                          record.type, record.zone, spot);
-            autoscaler_.refused(offer, Clock::now());
+            autoscaler_.on_order_refused(offer, Clock::now());
             break;
         }
         co_await net::sleep_for(no_answer_pause);  // then the request is repeated under the same name
@@ -205,7 +205,7 @@
                                TimePoint sent) {
     for (auto& name : names) {
         // The response to a repeated request lists the same machines again, even those that are gone by now.
-        if (host_.cluster.is_gone(name)) continue;
+        if (host_.cluster.is_removed(name)) continue;
         auto& machine = host_.cluster.add_machine(name, record.type, record.zone, record.spot, sent);
         machine.provisioned_at = sent;
         host_.cluster.mark_machine_changed(name);
@@ -236,7 +236,7 @@
             co_await net::sleep_for(no_answer_pause);
             continue;
         }
-        for (auto& name : batch) host_.cluster.machine_gone(name, proof, Clock::now());
+        for (auto& name : batch) host_.cluster.remove_machine(name, proof, Clock::now());
         machines.erase(machines.begin(), machines.begin() + count);
         host_.wake_placement();
         host_.wake_writes();
--- a/src/api/record_writer.cpp
+++ b/src/api/record_writer.cpp
@@ -56,7 +56,7 @@
     auto result = co_await services_.state.compare_and_swap(std::move(preconditions), std::move(operations));
     if (result.outcome == Outcome::ok) {
         for (auto& write : writes)
-            if (write.durable) write.durable();
+            if (write.on_durable) write.on_durable();
         host_.on_write();
         co_return;
     }
@@ -86,7 +86,7 @@
         if (refreshed) break;
         co_await net::sleep_for(token_refresh_pause);
     }
-    host_.cluster.lead(services_.election.fencing_token(), host_.acquired);
+    host_.cluster.set_fencing_token(services_.election.fencing_token(), host_.acquired);
 }
 
 }  // namespace barrowrun::api
--- a/src/api/recovery.cpp
+++ b/src/api/recovery.cpp
@@ -29,16 +29,16 @@
     co_await recover_catalog();
     const auto now = Clock::now();
     const auto wall = wall_ms();
-    net::Slices slices(max_slice);
-    const auto jobs = co_await recover_jobs(records, now, wall, slices);
+    net::TimeSlicer slicer(max_slice);
+    const auto jobs = co_await recover_jobs(records, now, wall, slicer);
     if (cell_delegations_) {
         // Before the machines: tasks of other cells' jobs on these machines must belong to a known job.
         co_await recover_delegations(now, wall);
         spawn("cell delegations", cell_delegations_->run());
     }
-    co_await recover_machines(records.shards, wall, slices);
+    co_await recover_machines(records.shards, wall, slicer);
     recover_provisioning_requests(records.provisioning_requests);
-    co_await apply_pending_heartbeats(now, slices);
+    co_await apply_pending_heartbeats(now, slicer);
     if (cell_delegations_) cell_delegations_->stop_before_deadlines();
     recovered_ = true;
     worker_monitor_.recovered(now);
@@ -88,12 +88,12 @@
 
 // Returns the number of active jobs.
 Task<std::size_t> Leader::recover_jobs(const state::Snapshot& records, TimePoint now, std::int64_t wall,
-                                       net::Slices& slices) {
+                                       net::TimeSlicer& slicer) {
     std::map<std::string, const Json*> progress_by_job;
     for (auto& item : records.progress.items) progress_by_job[item.key.substr(9)] = &item.value;
     std::size_t count = 0;
     for (auto& item : records.jobs.items) {
-        co_await slices.pause();
+        co_await slicer.pause();
         auto record = state::parse_job_record(item.value);
         if (!record) {
             spdlog::error("record {}: not a valid job record, the job is skipped", item.key);
@@ -112,10 +112,10 @@
     co_return count;
 }
 
-Task<> Leader::recover_machines(const state::Listing& shards, std::int64_t wall, net::Slices& slices) {
-    const auto lease = longer(secs(services_.settings.placement.lease_s));
+Task<> Leader::recover_machines(const state::Listing& shards, std::int64_t wall, net::TimeSlicer& slicer) {
+    const auto lease = upper_bound_with_drift(secs(services_.settings.placement.lease_s));
     for (auto& item : shards.items) {
-        co_await slices.pause();
+        co_await slicer.pause();
         auto number = state::parse_assignment_shard_key(item.key);
         auto machines = state::parse_assignment_shard(item.value);
         if (!number || !machines) {
@@ -123,7 +123,7 @@
                 "record {}: not a valid assignment shard, no task is started in the first lease period of "
                 "the term",
                 item.key);
-            cluster_.note_unreadable_record(number, acquired_ + lease);
+            cluster_.on_unreadable_shard(number, acquired_ + lease);
             continue;
         }
         for (auto& machine : *machines) cluster_.recover_machine(*number, machine, acquired_, wall);
@@ -137,11 +137,11 @@
 }
 
 // Applies the heartbeats stored during recovery, including those that arrive while it suspends.
-Task<> Leader::apply_pending_heartbeats(TimePoint now, net::Slices& slices) {
+Task<> Leader::apply_pending_heartbeats(TimePoint now, net::TimeSlicer& slicer) {
     while (!pending_heartbeats_.empty()) {
         auto first = pending_heartbeats_.extract(pending_heartbeats_.begin());
         cluster_.on_heartbeat(first.mapped(), true, now);
-        co_await slices.pause();
+        co_await slicer.pause();
     }
     for (auto& [name, when] : renewals_before_recovery_)
         if (auto* machine = cluster_.find_machine(name))
@@ -154,7 +154,7 @@
 void Leader::fence_known_workers(TimePoint now) {
     std::deque<std::string> names;
     for (auto& [name, machine] : cluster_.machines()) {
-        machine->probed = now;
+        machine->last_probe = now;
         if (machine->address.empty()) continue;
         if (cluster_.runs_service(*machine))
             names.push_front(name);
--- a/src/api/worker_monitor.cpp
+++ b/src/api/worker_monitor.cpp
@@ -76,17 +76,17 @@
     FleetContact contact;
     int contacted = 0;
     for (auto& [name, machine] : host_.cluster.machines()) {
-        host_.cluster.note_command(name);
+        host_.cluster.mark_command_pending(name);
         contact.up += machine->up;
         contact.any_expected |= machine->up || !machine->assignments.empty();
-        const auto since_probe = now - machine->probed;
+        const auto since_probe = now - machine->last_probe;
         const bool fence = !machine->up && !machine->address.empty() && since_probe > fence_interval &&
                            !machine->assignments.empty();
-        const bool probe = machine->up && !machine->push_reachable && !machine->probing &&
+        const bool probe = machine->up && !machine->push_reachable && !machine->probe_in_flight &&
                            since_probe > unreachable_probe_interval;
         if (!fence && !probe) continue;
         if (++contacted > max_concurrent_probes) continue;
-        machine->probed = now;
+        machine->last_probe = now;
         if (fence)
             host_.fence(name);
         else
@@ -131,7 +131,7 @@
 void WorkerMonitor::probe_some_reachable() {
     int left = max_reachability_probes;
     for (auto& [name, machine] : host_.cluster.machines()) {
-        if (!machine->up || machine->probing || machine->address.empty()) continue;
+        if (!machine->up || machine->probe_in_flight || machine->address.empty()) continue;
         if (left-- == 0) break;
         host_.probe(*machine);
     }
--- a/src/api/worker_routes.cpp
+++ b/src/api/worker_routes.cpp
@@ -19,7 +19,7 @@
         co_return co_await term->worker_heartbeat(std::move(*heartbeat), true);
     // This node is partitioned from the leader and the state service together with the worker: it renews the
     // worker's lease for a bounded time, so that running tasks continue.
-    if (renewer_.may_renew_cut_off(*heartbeat, now, !state_.responsive(now))) {
+    if (renewer_.may_renew_in_partition(*heartbeat, now, !state_.responsive(now))) {
         if (now - renewal_logged_ > 30s)
             spdlog::info(
                 "neither the leader nor the state service answers: this node keeps the leases of its zone");
--- a/src/autoscaler/autoscaler.hpp
+++ b/src/autoscaler/autoscaler.hpp
@@ -26,10 +26,12 @@
 class Autoscaler {
   public:
     /// The cloud refused or granted an order. A refused offer is not ordered again until its backoff ends.
-    void refused(const Offer& offer, TimePoint now) { backoff_.on_refused(offer, now); }
-    void granted(const Offer& offer) { backoff_.on_granted(offer); }
+    void on_order_refused(const Offer& offer, TimePoint now) { backoff_.on_refused(offer, now); }
+    void on_order_granted(const Offer& offer) { backoff_.on_granted(offer); }
     /// The offer is in backoff after a refusal.
-    bool refuses(const Offer& offer, TimePoint now) const { return backoff_.is_backing_off(offer, now); }
+    bool is_backing_off(const Offer& offer, TimePoint now) const {
+        return backoff_.is_backing_off(offer, now);
+    }
 
     /// `pending`: orders that the cloud has not answered yet.
     ScalingPlan plan(const placement::Cluster& cluster, TimePoint now,
--- a/src/autoscaler/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -22,7 +22,7 @@
 double quickest_boot_s(const Cluster& cluster, const wire::JobSpec& spec) {
     double boot_s = 1e9;
     for (auto& [name, type] : cluster.types())
-        if (spec.need.fits({type.cpus, type.gpus, type.mem_gb}) && !cluster.gpu_reserved(spec, type))
+        if (spec.need.fits({type.cpus, type.gpus, type.mem_gb}) && !cluster.is_gpu_reserved(spec, type))
             boot_s = std::min(boot_s, type.boot_s);
     return boot_s;
 }
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -12,7 +12,7 @@
 namespace {
 constexpr int max_machines_per_request = 50;  // limit of the cloud
 // No machines are ordered for a job with more consecutive failures than this.
-constexpr int max_errors_in_row = 4;
+constexpr int max_consecutive_errors = 4;
 // Weights of the capacity that the job would use and of the whole machine: other jobs can use part of the
 // capacity that this job leaves unused.
 constexpr double used_capacity_weight = 0.6, whole_machine_weight = 0.4;
@@ -55,7 +55,7 @@
             auto it = cluster_.jobs().find(position.id);
             if (it == cluster_.jobs().end()) continue;
             const Job& job = *it->second;
-            if (job.cancelled || job.errors_in_row > max_errors_in_row) continue;
+            if (job.cancelled || job.consecutive_errors > max_consecutive_errors) continue;
             std::uint32_t tasks = within_limits(job, job.waiting.size());
             if (job.spec.kind == JobKind::array) tasks = array_tasks_to_cover(job, tasks);
             cover(&job, job.spec, tasks, preemptible_use(job));
@@ -117,7 +117,7 @@
 bool ScaleOutPlanner::supply_suffices(const Job& job, const ArrayEstimate& estimate) const {
     const double elapsed_s = Seconds(now_ - job.accepted).count();
     if (job.spec.need.cpus <= 0 || estimate.slack_s <= elapsed_s) return false;
-    if (estimate.finish_s <= min_boot_and_run_factor * (cluster_.usual_boot_s() + estimate.run_s))
+    if (estimate.finish_s <= min_boot_and_run_factor * (cluster_.longest_cpu_boot_s() + estimate.run_s))
         return false;
     double supply_cpu_s = 0, earlier_cpu_s = 0;
     for (auto& bin : supply_.bins()) {
--- a/src/autoscaler/supply.cpp
+++ b/src/autoscaler/supply.cpp
@@ -99,7 +99,7 @@
         const double remaining_s = std::max(min_remaining_s, job->second->estimated_run_s() - ran_s);
         bin.array_cpus += cpus;
         bin.committed_cpu_s += cpus * remaining_s;
-        if (remaining_s <= cluster_.usual_boot_s())
+        if (remaining_s <= cluster_.longest_cpu_boot_s())
             freed_cpus_[{machine.spot, cpus}] += freed_capacity_share * cpus;
     }
 }
@@ -110,7 +110,7 @@
     if (spec.types && std::find(spec.types->begin(), spec.types->end(), offer.type) == spec.types->end())
         return false;
     auto type = cluster_.types().find(offer.type);
-    return type != cluster_.types().end() && !cluster_.gpu_reserved(spec, type->second);
+    return type != cluster_.types().end() && !cluster_.is_gpu_reserved(spec, type->second);
 }
 
 }  // namespace barrowrun::autoscaler
--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -24,10 +24,10 @@
 // Steady clocks of different machines drift apart by up to 0.05%. Both sides of a comparison may be off, so
 // the margin is twice that, plus 20 ms for the granularity of timers.
 inline constexpr double drift = 0.001;
-inline Clock::duration longer(Clock::duration d) {
+inline Clock::duration upper_bound_with_drift(Clock::duration d) {
     return std::chrono::duration_cast<Clock::duration>(d * (1 + drift)) + std::chrono::milliseconds(20);
 }
-inline Clock::duration shorter(Clock::duration d) {
+inline Clock::duration lower_bound_with_drift(Clock::duration d) {
     return std::chrono::duration_cast<Clock::duration>(d * (1 - drift)) - std::chrono::milliseconds(20);
 }
 // Wall-clock time, for stored records: unlike the steady clock, it stays comparable after a restart.
--- a/src/cells/delegation.hpp
+++ b/src/cells/delegation.hpp
@@ -122,7 +122,7 @@
     std::optional<Write> pending_;  // the write is not durable yet
     IndexSet done_;
     bool recalling_ = false, accepted_ = false;
-    friend struct DelegationPeek;  // gives the test's state-space search access to the private state
+    friend struct DelegationTestAccess;  // gives the test's state-space search access to the private state
 };
 
 /// The executor's record of a delegation.
@@ -174,7 +174,7 @@
     IndexSet done_;                          // completed tasks that are not recorded yet
     std::optional<DayTime> deadline_;        // last received deadline; may not be recorded yet
     bool stopping_ = false, machines_cleared_ = true;
-    friend struct DelegationPeek;
+    friend struct DelegationTestAccess;
 };
 
 }  // namespace barrowrun::cells
--- a/src/cells/offload.cpp
+++ b/src/cells/offload.cpp
@@ -134,9 +134,9 @@
     views_[cell].backoff_until = now + refusal_backoff;
 }
 
-std::vector<OffloadDecision> OffloadPlanner::choose(const Settings& settings,
-                                                    const std::vector<OffloadCandidate>& waiting,
-                                                    TimePoint now, std::size_t max_offers) const {
+std::vector<OffloadDecision> OffloadPlanner::plan_offers(const Settings& settings,
+                                                         const std::vector<OffloadCandidate>& waiting,
+                                                         TimePoint now, std::size_t max_offers) const {
     std::vector<OffloadDecision> out;
     auto views = views_;
     for (auto& job : waiting) {
--- a/src/cells/offload.hpp
+++ b/src/cells/offload.hpp
@@ -66,9 +66,9 @@
     /// Returns at most `max_offers` offers. Considers array jobs that have waited for
     /// `Settings::offload_after`, in the order of `waiting`, and offers each to the permitted cell with the
     /// most capacity for it.
-    std::vector<OffloadDecision> choose(const Settings& settings,
-                                        const std::vector<OffloadCandidate>& waiting, TimePoint now,
-                                        std::size_t max_offers) const;
+    std::vector<OffloadDecision> plan_offers(const Settings& settings,
+                                             const std::vector<OffloadCandidate>& waiting, TimePoint now,
+                                             std::size_t max_offers) const;
 
   private:
     struct CellView {
--- a/src/election/leader_lease.hpp
+++ b/src/election/leader_lease.hpp
@@ -19,14 +19,14 @@
 
     // Records that the state service confirmed an extension sent at `sent`.
     void extended(TimePoint sent, Clock::duration ttl) {
-        service_expiry_ = std::max(service_expiry_, sent + shorter(ttl));
+        service_expiry_ = std::max(service_expiry_, sent + lower_bound_with_drift(ttl));
     }
 
     // Records that a peer granted a vote of this duration on a request sent at `sent`.
     void vote_granted(const std::string& peer, TimePoint sent, Clock::duration duration) {
         if (sent >= std::max(service_expiry_, votes_expiry())) interrupted_ = true;
         auto& expiry = vote_expiries_[peer];
-        expiry = std::max(expiry, sent + shorter(duration));
+        expiry = std::max(expiry, sent + lower_bound_with_drift(duration));
     }
 
     // Whether the leader may act now. Not const: the object remembers that the lease was found expired. Votes
--- a/src/election/lease_voter.hpp
+++ b/src/election/lease_voter.hpp
@@ -26,14 +26,14 @@
     // `others`: names of the other nodes (if empty, only the passing of time ends the wait).
     LeaseVoter(TimePoint start, Clock::duration max_vote, const std::set<std::string>& others = {})
         : start_(start),
-          predecessor_votes_expiry_(start + longer(max_vote)),
+          predecessor_votes_expiry_(start + upper_bound_with_drift(max_vote)),
           others_known_(!others.empty()),
           possible_leaders_(others) {}
 
     // Grants a vote on a request received at `now`. The vote lasts `duration` on the leader's clock, so the
     // clock drift is added to it here.
     void grant(TimePoint now, Clock::duration duration) {
-        own_votes_expiry_ = std::max(own_votes_expiry_, now + longer(duration));
+        own_votes_expiry_ = std::max(own_votes_expiry_, now + upper_bound_with_drift(duration));
     }
 
     // Records another node's answer to a heartbeat sent at `sent`.
--- a/src/election/peers.cpp
+++ b/src/election/peers.cpp
@@ -61,7 +61,7 @@
     heartbeat_reply.sent = Clock::now();
     auto reply =
         co_await client_.call(peer->address, verb::post, "/peer/ping", std::move(body), heartbeat_deadline);
-    if (auto line = peer->reach.note(reply.status == 200, Clock::now())) spdlog::info("{}", *line);
+    if (auto line = peer->outage_log.note(reply.status == 200, Clock::now())) spdlog::info("{}", *line);
     if (reply.status != 200) co_return;
     peer->heard = Clock::now();
     peer->state_ok = wire::flag(reply.body, "state_ok").value_or(false);
--- a/src/election/peers.hpp
+++ b/src/election/peers.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "net/http_client.hpp"
-#include "net/reach.hpp"
+#include "net/outage_log.hpp"
 
 namespace barrowrun::election {
 
@@ -21,7 +21,7 @@
     bool leading = false;       // whether the peer led with a valid lease
     std::uint64_t waiting = 0;  // number of tasks in the peer's queues if it leads
     TimePoint heard{};          // when the answer was received
-    net::Reach reach{""};
+    net::OutageLog outage_log{""};
 };
 
 // The part of an answer to a heartbeat that the election passes on.
--- a/src/fleet/cloud_client.cpp
+++ b/src/fleet/cloud_client.cpp
@@ -17,13 +17,13 @@
     // A 503 with "no capacity" is an answer of a working cloud; a 503 with "trouble" is not.
     bool answered =
         reply.status != 0 && (reply.status != 503 || wire::text(reply.body, "error") != "trouble");
-    if (auto line = reach_.note(answered, Clock::now())) spdlog::warn("{}", *line);
+    if (auto line = outage_log_.note(answered, Clock::now())) spdlog::warn("{}", *line);
     co_return reply;
 }
 
 Task<> CloudClient::check_reachability() {
     const bool reached = co_await client_.reaches(address_, 800ms);
-    if (auto line = reach_.note(reached, Clock::now())) spdlog::warn("{}", *line);
+    if (auto line = outage_log_.note(reached, Clock::now())) spdlog::warn("{}", *line);
 }
 
 Task<std::optional<std::vector<wire::MachineType>>> CloudClient::types() {
--- a/src/fleet/cloud_client.hpp
+++ b/src/fleet/cloud_client.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Client of the cloud's HTTP API that keeps within the cloud's request rate limit.
 #include "net/http_client.hpp"
-#include "net/reach.hpp"
+#include "net/outage_log.hpp"
 #include "wire/messages.hpp"
 
 namespace barrowrun::fleet {
@@ -37,7 +37,7 @@
     std::string address_;
     net::HttpClient client_;
     net::RateBudget budget_;
-    net::Reach reach_{"the cloud"};
+    net::OutageLog outage_log_{"the cloud"};
 };
 
 }  // namespace barrowrun::fleet
--- a/src/fleet/failure_detector.cpp
+++ b/src/fleet/failure_detector.cpp
@@ -59,7 +59,7 @@
                              Seconds(silence).count());
             machine->suspected = true;
             verdict.declare_failed.push_back(machine.get());
-        } else if (!machine->probing && !machine->address.empty() &&
+        } else if (!machine->probe_in_flight && !machine->address.empty() &&
                    verdict.probe.size() < config_.max_new_probes) {
             verdict.probe.push_back(machine.get());
         }
--- a/src/fleet/machine.hpp
+++ b/src/fleet/machine.hpp
@@ -70,13 +70,13 @@
     std::uint64_t agent_epoch = 0, seq = 0, fencing_token_seen = 0;
     bool up = false;                           // this leader has received a heartbeat from its worker
     std::optional<TimePoint> spot_reclaim_at;  // spot notice: nominal time of reclaim by the cloud
-    TimePoint known_since{}, provisioned_at{}, last_heartbeat{}, last_answer{}, idle_since{}, probed{};
+    TimePoint known_since{}, provisioned_at{}, last_heartbeat{}, last_answer{}, idle_since{}, last_probe{};
     TimePoint agent_epoch_known{};  // when the leader first heard of the agent epoch, which began no later
     bool returning = false;         // a return request to the cloud was or will be sent
     bool draining = false;          // gets no new tasks; is emptied, then returned
     bool suspected = false;         // silent; gets no new tasks until it is heard again or proven empty
     bool push_reachable = true;     // its address answers requests of the leader
-    bool pushing = false, probing = false;
+    bool push_in_flight = false, probe_in_flight = false;
     int missed_probes = 0;          // consecutive probes without an answer
     int errors = 0, successes = 0;  // errors: consecutive task failures
     int attributed_errors = 0;      // of these, failures of jobs that run well elsewhere
@@ -120,7 +120,8 @@
     // from the last answered heartbeat, the lease seemed expired at once, and those tasks ran twice
     // (docs/incidents/session-known-by-push.md).
     TimePoint lease_expiry(double lease_s, TimePoint acquired) const {
-        return std::max({last_answer, acquired, known_since, agent_epoch_known}) + longer(secs(lease_s));
+        return std::max({last_answer, acquired, known_since, agent_epoch_known}) +
+               upper_bound_with_drift(secs(lease_s));
     }
     // Whether an answer to a heartbeat may renew the machine's lease. Renewals end `keep` after the stop of
     // an attempt was due if an unanswered launch of that attempt may still be executed, under a fencing token
--- a/src/lab/child.hpp
+++ b/src/lab/child.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // A long-lived child process whose output goes to a file and that is killed when its parent ends.
-#include "net/duties.hpp"
+#include "net/coroutines.hpp"
 #include "proc/spawn.hpp"
 
 namespace barrowrun::lab {
--- a/src/lab/relay.hpp
+++ b/src/lab/relay.hpp
@@ -5,7 +5,7 @@
 #include <list>
 #include <string>
 
-#include "net/duties.hpp"
+#include "net/coroutines.hpp"
 
 namespace barrowrun::lab {
 
--- a/src/leases/leases.cpp
+++ b/src/leases/leases.cpp
@@ -28,13 +28,13 @@
 
 Clock::duration renewal_period(double lease_s, double cancel_s) {
     // Allows for the drift of two clocks, the node's and the worker's, and for the delay of two timers.
-    auto remaining = secs(cancel_s) - longer(secs(lease_s)) - timer_slack;
-    return std::max(shorter(remaining), Clock::duration::zero());
+    auto remaining = secs(cancel_s) - upper_bound_with_drift(secs(lease_s)) - timer_slack;
+    return std::max(lower_bound_with_drift(remaining), Clock::duration::zero());
 }
 
 Json to_json(const RenewalGrant& grant) {
     Json out{{"token", grant.fencing_token}, {"stamp", grant.timestamp_ms}};
-    if (grant.grants_nothing || grant.excluded_machines.size() > max_excluded_machines)
+    if (grant.forbids_renewals || grant.excluded_machines.size() > max_excluded_machines)
         out["but"] = true;
     else
         out["but"] = grant.excluded_machines;
@@ -52,7 +52,7 @@
             grant.excluded_machines.insert(name.get<std::string>());
         }
     } else {
-        grant.grants_nothing = true;
+        grant.forbids_renewals = true;
     }
     return grant;
 }
@@ -78,7 +78,7 @@
 
 // ---- node ----------------------------------------------------------------------------------------------
 
-void LeaseRenewer::granted(TimePoint sent, TimePoint received, RenewalGrant grant) {
+void LeaseRenewer::record_grant(TimePoint sent, TimePoint received, RenewalGrant grant) {
     // Answers may arrive out of order; an answer to an older heartbeat is ignored.
     if (last_contact_ && sent <= *last_contact_) return;
     last_contact_ = sent;
@@ -87,7 +87,7 @@
     grant_is_remote_ = true;
 }
 
-void LeaseRenewer::leads(TimePoint now, RenewalGrant grant) {
+void LeaseRenewer::record_own_leadership(TimePoint now, RenewalGrant grant) {
     last_contact_ = grant_received_ = now;
     grant_ = std::move(grant);
     grant_is_remote_ = false;
@@ -104,18 +104,18 @@
     out.last_renewal_age_ms = to_ms(now - last_renewal_);
     if (last_contact_ && now - *last_contact_ < recent_contact_window) {
         out.pauses_renewal = true;
-        renewal_paused_until_ = std::max(renewal_paused_until_, now + longer(renewal_pause));
+        renewal_paused_until_ = std::max(renewal_paused_until_, now + upper_bound_with_drift(renewal_pause));
     }
     return out;
 }
 
 bool LeaseRenewer::may_renew(const std::string& machine, TimePoint now) const {
-    return last_contact_ && now < *last_contact_ + renewal_period_ && !grant_.grants_nothing &&
+    return last_contact_ && now < *last_contact_ + renewal_period_ && !grant_.forbids_renewals &&
            !grant_.excluded_machines.contains(machine);
 }
 
-bool LeaseRenewer::may_renew_cut_off(const wire::WorkerHeartbeat& heartbeat, TimePoint now,
-                                     bool partitioned) {
+bool LeaseRenewer::may_renew_in_partition(const wire::WorkerHeartbeat& heartbeat, TimePoint now,
+                                          bool partitioned) {
     if (!partitioned || heartbeat.zone != zone_ || !may_renew(heartbeat.machine, now)) return false;
     // A worker that knows a higher token would ignore the answer, and would keep sending its heartbeats to
     // this node until its lease expires.
@@ -130,14 +130,15 @@
                            std::uint64_t fencing_token)
     : renewal_period_(period), acquired_(acquired), first_fencing_token_(fencing_token) {
     // A previous leader issued its grants before this leader's term began.
-    for (auto& name : nodes) nodes_[name].grants_expiry = acquired + longer(period);
+    for (auto& name : nodes) nodes_[name].grants_expiry = acquired + upper_bound_with_drift(period);
 }
 
 std::uint64_t RenewalBound::timestamp_ms(TimePoint now) const {
     return to_ms(now - acquired_) + 1;
 }
 
-void RenewalBound::heard(const std::string& node, const Heartbeat& heartbeat, TimePoint now, bool granted) {
+void RenewalBound::record_heartbeat(const std::string& node, const Heartbeat& heartbeat, TimePoint now,
+                                    bool granted) {
     auto found = nodes_.find(node);
     if (found == nodes_.end()) return;
     Node& sender = found->second;
@@ -145,20 +146,21 @@
     // The heartbeat may have been delayed for minutes. It was sent after the timestamp that it echoes was
     // issued, and no later than now. Each of the two bounds is used where it is the safe one.
     sender.last_renewal =
-        std::max(sender.last_renewal, now - shorter(from_ms(heartbeat.last_renewal_age_ms)));
+        std::max(sender.last_renewal, now - lower_bound_with_drift(from_ms(heartbeat.last_renewal_age_ms)));
     // Fencing tokens only grow, so a lower token, and the timestamp with it, comes from an earlier term.
     if (heartbeat.pauses_renewal && heartbeat.timestamp_ms > 0 &&
         heartbeat.fencing_token >= first_fencing_token_) {
-        auto sent =
-            acquired_ + from_ms(heartbeat.timestamp_ms - 1) + shorter(from_ms(heartbeat.grant_age_ms));
+        auto sent = acquired_ + from_ms(heartbeat.timestamp_ms - 1) +
+                    lower_bound_with_drift(from_ms(heartbeat.grant_age_ms));
         if (sent <= now)
             sender.renewal_paused_until =
-                std::max(sender.renewal_paused_until, sent + shorter(renewal_pause));
+                std::max(sender.renewal_paused_until, sent + lower_bound_with_drift(renewal_pause));
     }
-    if (granted) sender.grants_expiry = std::max(sender.grants_expiry, now + longer(renewal_period_));
+    if (granted)
+        sender.grants_expiry = std::max(sender.grants_expiry, now + upper_bound_with_drift(renewal_period_));
 }
 
-TimePoint RenewalBound::latest_renewal(const std::string& zone, TimePoint now) const {
+TimePoint RenewalBound::latest_possible_renewal(const std::string& zone, TimePoint now) const {
     TimePoint latest{};
     if (renewal_period_ <= Clock::duration::zero()) return latest;
     for (auto& [name, node] : nodes_) {
--- a/src/leases/leases.hpp
+++ b/src/leases/leases.hpp
@@ -35,7 +35,7 @@
 struct RenewalGrant {
     std::uint64_t fencing_token = 0;
     std::uint64_t timestamp_ms = 0;  // ms on the leader's clock; meaningful only to that leader
-    bool grants_nothing = false;     // no lease may be renewed: too many machines would have to be listed
+    bool forbids_renewals = false;   // no lease may be renewed: too many machines would have to be listed
     std::set<std::string> excluded_machines;  // machines that may hold a task of a cancelled job
 };
 wire::Json to_json(const RenewalGrant& grant);
@@ -59,9 +59,9 @@
     LeaseRenewer(std::string zone, Clock::duration period, TimePoint start)
         : zone_(std::move(zone)), renewal_period_(period), last_renewal_(start) {}
     // Records the grant that the leader returned to a heartbeat sent at `sent`.
-    void granted(TimePoint sent, TimePoint received, RenewalGrant grant);
+    void record_grant(TimePoint sent, TimePoint received, RenewalGrant grant);
     // Records that this node leads with a valid lease at `now`, which counts as contact with the leader.
-    void leads(TimePoint now, RenewalGrant grant);
+    void record_own_leadership(TimePoint now, RenewalGrant grant);
     // Returns the heartbeat to be sent now. Starts the renewal pause if the heartbeat announces one.
     Heartbeat heartbeat(TimePoint now);
     // Whether the lease of the machine's worker may be renewed by what this node knows of cancelled jobs: at
@@ -71,7 +71,7 @@
     bool may_renew(const std::string& machine, TimePoint now) const;
     // Whether the worker's heartbeat may be answered with the token alone, without commands; if so, this
     // counts as a renewal. `partitioned`: this node can reach neither the leader nor the state service.
-    bool may_renew_cut_off(const wire::WorkerHeartbeat& heartbeat, TimePoint now, bool partitioned);
+    bool may_renew_in_partition(const wire::WorkerHeartbeat& heartbeat, TimePoint now, bool partitioned);
     std::uint64_t fencing_token() const { return grant_.fencing_token; }
 
   private:
@@ -91,12 +91,12 @@
     RenewalBound(const std::set<std::string>& nodes, Clock::duration period, TimePoint acquired,
                  std::uint64_t fencing_token);
     // Records a heartbeat; `granted`: whether it is answered with a grant.
-    void heard(const std::string& node, const Heartbeat& heartbeat, TimePoint now, bool granted);
+    void record_heartbeat(const std::string& node, const Heartbeat& heartbeat, TimePoint now, bool granted);
     // Returns the timestamp for a grant issued now; later heartbeats of the node echo it.
     std::uint64_t timestamp_ms(TimePoint now) const;
     // Returns the latest time up to now at which a node may have renewed a lease in the zone without the
     // leader.
-    TimePoint latest_renewal(const std::string& zone, TimePoint now) const;
+    TimePoint latest_possible_renewal(const std::string& zone, TimePoint now) const;
 
   private:
     struct Node {
--- a/src/net/rooms.cpp
+++ b/src/net/connection_limiter.cpp
@@ -1,4 +1,4 @@
-#include "net/rooms.hpp"
+#include "net/connection_limiter.hpp"
 
 #include <algorithm>
 
@@ -9,27 +9,27 @@
 }
 }  // namespace
 
-Rooms::Rooms(std::size_t most, double user_share, double address_share)
+ConnectionLimiter::ConnectionLimiter(std::size_t most, double user_share, double address_share)
     : most_(std::max<std::size_t>(1, most)),
       most_users_(part(most_, user_share)),
       most_per_address_(part(most_, address_share)) {}
 
-std::list<Rooms::Id>* Rooms::line(Entry& e) {
+std::list<ConnectionLimiter::Id>* ConnectionLimiter::line(Entry& e) {
     if (e.stage == Stage::unproven) return &addresses_[e.address].unproven;
     if (e.stage == Stage::idle) return e.caller == Caller::user ? &idle_users_ : &idle_system_;
     return nullptr;
 }
 
-void Rooms::enter(Id id, Entry& e, Stage stage) {
+void ConnectionLimiter::enter(Id id, Entry& e, Stage stage) {
     e.stage = stage;
     if (auto* l = line(e)) e.place = l->insert(l->end(), id);
 }
 
-void Rooms::leave(Id, Entry& e) {
+void ConnectionLimiter::leave(Id, Entry& e) {
     if (auto* l = line(e)) l->erase(e.place);
 }
 
-std::optional<Rooms::Id> Rooms::victim(const std::string* only) const {
+std::optional<ConnectionLimiter::Id> ConnectionLimiter::victim(const std::string* only) const {
     if (only) {
         auto it = addresses_.find(*only);
         if (it != addresses_.end() && !it->second.unproven.empty()) return it->second.unproven.front();
@@ -47,7 +47,7 @@
     return std::nullopt;
 }
 
-Rooms::Arrival Rooms::arrive(const std::string& address) {
+ConnectionLimiter::Arrival ConnectionLimiter::arrive(const std::string& address) {
     Arrival out;
     auto known = addresses_.find(address);
     if (known != addresses_.end() && known->second.open >= most_per_address_) {
@@ -66,7 +66,7 @@
     return out;
 }
 
-Rooms::Verdict Rooms::request(Id id, Caller caller) {
+ConnectionLimiter::Verdict ConnectionLimiter::request(Id id, Caller caller) {
     auto it = all_.find(id);
     if (it == all_.end())
         return {};  // evicted while its request was being read: it is still answered, then closed
@@ -88,14 +88,14 @@
     return out;
 }
 
-void Rooms::answered(Id id) {
+void ConnectionLimiter::answered(Id id) {
     auto it = all_.find(id);
     if (it == all_.end()) return;
     leave(id, it->second);
     enter(id, it->second, Stage::idle);
 }
 
-void Rooms::left(Id id) {
+void ConnectionLimiter::left(Id id) {
     auto it = all_.find(id);
     if (it == all_.end()) return;
     auto& e = it->second;
--- a/src/net/rooms.hpp
+++ b/src/net/connection_limiter.hpp
@@ -17,12 +17,12 @@
 // checks and other nodes, `unproven` for a connection without a complete request.
 enum class Caller { unproven, user, system };
 
-class Rooms {
+class ConnectionLimiter {
   public:
     using Id = std::uint64_t;
     // Users hold at most the fraction `user_share` of `most` connections, which leaves the rest to workers
     // and health checks; one address holds at most the fraction `address_share`.
-    explicit Rooms(std::size_t most, double user_share = 0.8, double address_share = 0.8);
+    explicit ConnectionLimiter(std::size_t most, double user_share = 0.8, double address_share = 0.8);
 
     struct Arrival {
         std::optional<Id> id;     // of the new connection; absent: refused
--- a/src/net/duties.hpp
+++ b/src/net/coroutines.hpp
@@ -35,9 +35,9 @@
 
 // Lets a long computation yield: `pause` lets other ready handlers of the executor run once `length` has
 // passed since the last yield, and otherwise returns immediately.
-class Slices {
+class TimeSlicer {
   public:
-    explicit Slices(Clock::duration length) : length_(length), begun_(Clock::now()) {}
+    explicit TimeSlicer(Clock::duration length) : length_(length), begun_(Clock::now()) {}
     Task<> pause() {
         if (Clock::now() - begun_ < length_) co_return;
         co_await asio::post(co_await asio::this_coro::executor, asio::use_awaitable);
@@ -78,10 +78,10 @@
 
 // A group of coroutines that are cancelled together. Each has its own cancellation signal; any other
 // exception that ends a coroutine is logged.
-class Duties {
+class CoroutineGroup {
   public:
-    explicit Duties(asio::io_context& io) : io_(io) {}
-    ~Duties() { cancel(); }
+    explicit CoroutineGroup(asio::io_context& io) : io_(io) {}
+    ~CoroutineGroup() { cancel(); }
     template <class Owner>
     void spawn(std::string name, std::shared_ptr<Owner> keep, Task<> duty) {
         auto slot = signals_->insert(signals_->end(), std::make_shared<asio::cancellation_signal>());
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "net/duties.hpp"
+#include "net/coroutines.hpp"
 #include "wire/codec.hpp"
 
 namespace barrowrun::net {
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -7,13 +7,13 @@
 namespace barrowrun::net {
 
 struct HttpServer::Shared {
-    Rooms rooms;
+    ConnectionLimiter limiter;
     ServerTimes times;
     Handler handler;
     Classify classify;
-    std::unordered_map<Rooms::Id, beast::tcp_stream*> streams;
-    Shared(std::size_t most, ServerTimes t) : rooms(most), times(t) {}
-    void close(const std::optional<Rooms::Id>& id) {
+    std::unordered_map<ConnectionLimiter::Id, beast::tcp_stream*> streams;
+    Shared(std::size_t most, ServerTimes t) : limiter(most), times(t) {}
+    void close(const std::optional<ConnectionLimiter::Id>& id) {
         if (!id) return;
         auto it = streams.find(*id);
         if (it == streams.end()) return;
@@ -26,7 +26,7 @@
     : io_(io), shared_(std::make_shared<Shared>(max_connections, times)) {}
 
 std::size_t HttpServer::connections() const {
-    return shared_->rooms.size();
+    return shared_->limiter.size();
 }
 
 std::string HttpServer::address() const {
@@ -34,15 +34,18 @@
     return at.address().to_string() + ":" + std::to_string(at.port());
 }
 
-Task<> HttpServer::connection(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared, Rooms::Id id) {
+Task<> HttpServer::connection(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared,
+                              ConnectionLimiter::Id id) {
     beast::tcp_stream stream(std::move(socket));
     struct Present {
         Shared& shared;
-        Rooms::Id id;
-        Present(Shared& s, Rooms::Id i, beast::tcp_stream* at) : shared(s), id(i) { s.streams[i] = at; }
+        ConnectionLimiter::Id id;
+        Present(Shared& s, ConnectionLimiter::Id i, beast::tcp_stream* at) : shared(s), id(i) {
+            s.streams[i] = at;
+        }
         ~Present() {
             shared.streams.erase(id);
-            shared.rooms.left(id);
+            shared.limiter.left(id);
         }
     } present(*shared, id, &stream);
     beast::flat_buffer buffer;
@@ -75,7 +78,7 @@
             Request request{parser.get().method(), std::string(parser.get().target()),
                             std::move(parser.get().body())};
             auto verdict =
-                shared->rooms.request(id, shared->classify ? shared->classify(request) : Caller::system);
+                shared->limiter.request(id, shared->classify ? shared->classify(request) : Caller::system);
             shared->close(verdict.evict);
             stream.expires_never();
             if (!verdict.serve) {
@@ -100,7 +103,7 @@
         stream.expires_after(shared->times.answer);
         co_await http::async_write(stream, response, asio::redirect_error(asio::use_awaitable, ec));
         if (ec || !keep) break;
-        shared->rooms.answered(id);
+        shared->limiter.answered(id);
     }
     stream.socket().shutdown(asio::ip::tcp::socket::shutdown_both, ec);
 }
@@ -131,7 +134,7 @@
         }
         auto peer = socket.remote_endpoint(ec);
         if (ec) continue;
-        auto arrival = shared_->rooms.arrive(peer.address().to_string());
+        auto arrival = shared_->limiter.arrive(peer.address().to_string());
         shared_->close(arrival.evict);
         if (!arrival.id) continue;  // the socket closes, and the load balancer tries another node
         asio::co_spawn(io_, connection(std::move(socket), shared_, *arrival.id), asio::detached);
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -5,8 +5,8 @@
 #include <optional>
 #include <string>
 
-#include "net/duties.hpp"
-#include "net/rooms.hpp"
+#include "net/connection_limiter.hpp"
+#include "net/coroutines.hpp"
 #include "wire/codec.hpp"
 
 namespace barrowrun::net {
@@ -52,7 +52,8 @@
   private:
     asio::io_context& io_;
     struct Shared;
-    static Task<> connection(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared, Rooms::Id id);
+    static Task<> connection(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared,
+                             ConnectionLimiter::Id id);
     std::shared_ptr<Shared> shared_;
     std::optional<asio::ip::tcp::acceptor> acceptor_;
 };
--- a/src/net/reach.hpp
+++ b/src/net/outage_log.hpp
@@ -10,10 +10,10 @@
 
 namespace barrowrun::net {
 
-class Reach {
+class OutageLog {
   public:
     // `name` is the peer as log lines name it.
-    explicit Reach(std::string name) : name_(std::move(name)) {}
+    explicit OutageLog(std::string name) : name_(std::move(name)) {}
     // Records the outcome of one call and returns the line to log, if one is due.
     std::optional<std::string> note(bool answered, TimePoint now) {
         if (answered) {
--- a/src/placement/attempts.cpp
+++ b/src/placement/attempts.cpp
@@ -22,9 +22,10 @@
 constexpr double unanswered_launch_s = 3;
 
 // Back-off by consecutive failures of the job, so that a job that always fails does not occupy machines.
-double retry_delay_s(int errors_in_row) {
-    if (errors_in_row == 1) return first_retry_s;
-    return std::min(max_retry_s, first_retry_s * std::pow(2.0, std::min(errors_in_row, max_retry_doublings)));
+double retry_delay_s(int consecutive_errors) {
+    if (consecutive_errors == 1) return first_retry_s;
+    return std::min(max_retry_s,
+                    first_retry_s * std::pow(2.0, std::min(consecutive_errors, max_retry_doublings)));
 }
 }  // namespace
 using fleet::AssignmentChange;
@@ -54,7 +55,7 @@
         m.cache_gb = t->second.cache_gb;
         m.fetch_gb_per_s = t->second.fetch_gb_per_s;
     }
-    capacity_index_.changed(m);
+    capacity_index_.mark_changed(m);
     return m;
 }
 
@@ -83,7 +84,7 @@
     }
 }
 
-void Cluster::machine_gone(const std::string& name, const char* proof, TimePoint now) {
+void Cluster::remove_machine(const std::string& name, const char* proof, TimePoint now) {
     if (removed_machines_.insert(name).second) removal_order_.push_back(name);
     if (removal_order_.size() > max_removed_names) {
         removed_machines_.erase(removal_order_.front());
@@ -102,7 +103,7 @@
     apply_changes(m, changes, now);
     // Not written at once: a record may name a removed machine, but it must not omit an existing one.
     shards_.remove_machine(name);
-    capacity_index_.removed(m);
+    capacity_index_.remove(m);
     machines_.erase(it);
 }
 
@@ -139,7 +140,7 @@
                 m.capacity = {t->second.cpus, t->second.gpus, t->second.mem_gb};
                 m.cache_gb = t->second.cache_gb;
             }
-            capacity_index_.changed(m);
+            capacity_index_.mark_changed(m);
         }
         m.idle_since = now;
         // The address must be recorded: a successor queries every recorded worker.
@@ -152,7 +153,7 @@
 }
 
 void Cluster::apply_changes(Machine& m, const std::vector<AssignmentChange>& changes, TimePoint now) {
-    if (!changes.empty()) capacity_index_.changed(m);
+    if (!changes.empty()) capacity_index_.mark_changed(m);
     for (auto& c : changes) {
         Job* job = find_job(c.attempt.task.job);
         auto index = c.attempt.task.index;
@@ -197,7 +198,7 @@
 }
 
 void Cluster::on_attempt_ended(Machine& m, const Attempt& a, const Assignment& e, TimePoint now) {
-    note_command(m.name);
+    mark_command_pending(m.name);
     Job* job = find_job(a.task.job);
     if (!job || a.task.index >= job->spec.tasks) return;
     bool run_measured = e.started_at != TimePoint{} && e.started_at > e.placed_at;
@@ -205,10 +206,10 @@
     switch (e.cause) {
         case Cause::done:
             failure_attribution::record_success(m);
-            job->errors_in_row = 0;
+            job->consecutive_errors = 0;
             if (run_measured && job->spec.kind == JobKind::array) {
-                job->run_sum += run_s;
-                job->runs++;
+                job->total_run_s += run_s;
+                job->measured_runs++;
             }
             if (job->spec.kind == JobKind::gang) {
                 for (std::uint32_t i = 0; i < job->spec.tasks; ++i) finish_task(*job, i);
@@ -217,21 +218,22 @@
             }
             break;
         case Cause::error: {
-            job->failed_on.insert(m.name);
+            job->failed_machines.insert(m.name);
             count_error(*job, m, a, now);
             const bool fault_of_machine = has_proven_run(*job, now);
             failure_attribution::record_failure(m, fault_of_machine, now);
             if (!fault_of_machine) {
-                job->errors_in_row++;
+                job->consecutive_errors++;
                 // A job that fails wherever it runs is itself at fault: replicas must not be kept off all the
                 // machines that it has tried.
-                if (job->failed_on.size() >= failure_attribution::fails_anywhere_after)
-                    for (auto& name : job->failed_on)
-                        if (Machine* tried = find_machine(name)) failure_attribution::absolve(*tried);
-                job->retry_at = now + secs(retry_delay_s(job->errors_in_row));
+                if (job->failed_machines.size() >= failure_attribution::min_machines_for_job_fault)
+                    for (auto& name : job->failed_machines)
+                        if (Machine* tried = find_machine(name))
+                            failure_attribution::clear_unattributed_failures(*tried);
+                job->retry_at = now + secs(retry_delay_s(job->consecutive_errors));
             }
             spdlog::info("task {}: failed on machine {} ({} consecutive failures there, {} of the job)",
-                         a.task.str(), m.name, m.errors, job->errors_in_row);
+                         a.task.str(), m.name, m.errors, job->consecutive_errors);
             break;
         }
         case Cause::no_room:
@@ -256,7 +258,7 @@
     for (auto& [a, e] : m.assignments) {
         if (e.phase != AssignmentPhase::confirmed) continue;
         if (e.exited()) {
-            note_command(m.name);
+            mark_command_pending(m.name);
             continue;
         }
         if (e.stop_requested) continue;
@@ -298,8 +300,8 @@
     e.stop_requested = true;
     e.grace_s = grace;
     e.stop_at = now;
-    note_command(m.name);
-    capacity_index_.changed(m);
+    mark_command_pending(m.name);
+    capacity_index_.mark_changed(m);
 }
 
 bool Cluster::runs_service(const Machine& m) const {
@@ -334,7 +336,7 @@
     for (auto& a : dropped) {
         release_charge(m.assignments.at(a));
         m.assignments.erase(a);
-        capacity_index_.changed(m);
+        capacity_index_.mark_changed(m);
         if (Job* job = find_job(a.task.job)) unplace(*job, a.task.index, m.name, a.number);
     }
 }
--- a/src/placement/capacity_index.cpp
+++ b/src/placement/capacity_index.cpp
@@ -4,7 +4,7 @@
 
 namespace barrowrun::placement {
 
-wire::Resources AttainableCapacity::up_to_level(int level) const {
+wire::Resources AttainableCapacity::attainable_for_level(int level) const {
     auto total = free;
     total += stopping;
     total += preemptible[static_cast<std::size_t>(level)];
@@ -20,24 +20,24 @@
         if (e.stop_requested) {
             result.stopping += e.need;
             result.has_stopping = true;
-            result.may_free.fill(true);
+            result.may_yield_capacity.fill(true);
         }
         for (std::size_t level = 0; level < result.preemptible.size(); ++level)
             if (e.preemptible_by(static_cast<wire::Priority>(level))) {
                 result.preemptible[level] += e.need;
-                result.may_free[level] = true;
+                result.may_yield_capacity[level] = true;
             }
     }
     return result;
 }
 
-void CapacityIndex::changed(Machine& m) {
+void CapacityIndex::mark_changed(Machine& m) {
     if (m.capacity_stale) return;
     m.capacity_stale = true;
     changed_.push_back(&m);
 }
 
-void CapacityIndex::removed(Machine& m) {
+void CapacityIndex::remove(Machine& m) {
     if (auto it = indexed_.find(&m); it != indexed_.end()) {
         unlink(*it->second);
         indexed_.erase(it);
@@ -50,15 +50,17 @@
     if (!indexed.machine_class) return;
     indexed.machine_class->by_free.erase(&indexed);
     if (indexed.capacity.has_stopping) indexed.machine_class->stopping.erase(&indexed);
-    for (std::size_t level = 0; level < indexed.capacity.may_free.size(); ++level)
-        if (indexed.capacity.may_free[level]) indexed.machine_class->may_free[level].erase(&indexed);
+    for (std::size_t level = 0; level < indexed.capacity.may_yield_capacity.size(); ++level)
+        if (indexed.capacity.may_yield_capacity[level])
+            indexed.machine_class->may_yield_capacity[level].erase(&indexed);
 }
 
 void CapacityIndex::link(IndexedMachine& indexed) {
     indexed.machine_class->by_free.insert(&indexed);
     if (indexed.capacity.has_stopping) indexed.machine_class->stopping.insert(&indexed);
-    for (std::size_t level = 0; level < indexed.capacity.may_free.size(); ++level)
-        if (indexed.capacity.may_free[level]) indexed.machine_class->may_free[level].insert(&indexed);
+    for (std::size_t level = 0; level < indexed.capacity.may_yield_capacity.size(); ++level)
+        if (indexed.capacity.may_yield_capacity[level])
+            indexed.machine_class->may_yield_capacity[level].insert(&indexed);
 }
 
 void CapacityIndex::refresh() {
--- a/src/placement/capacity_index.hpp
+++ b/src/placement/capacity_index.hpp
@@ -23,12 +23,12 @@
     wire::Resources stopping;  // held by attempts that were told to stop and have not ended
     bool has_stopping = false;
     // Both are indexed by the priority level of the task to be placed. `preemptible`: held by attempts of
-    // lower priority that may be stopped for it. `may_free`: there is such an attempt, or one that is being
-    // stopped.
+    // lower priority that may be stopped for it. `may_yield_capacity`: there is such an attempt, or one that
+    // is being stopped.
     std::array<wire::Resources, wire::priority_levels> preemptible{};
-    std::array<bool, wire::priority_levels> may_free{};
+    std::array<bool, wire::priority_levels> may_yield_capacity{};
     // The most capacity that a task of the level could get: free, stopping and preemptible.
-    wire::Resources up_to_level(int level) const;
+    wire::Resources attainable_for_level(int level) const;
 };
 AttainableCapacity attainable_capacity(const Machine& m);
 
@@ -60,13 +60,13 @@
         bool spot = false;
         std::set<IndexedMachine*, MostFreeFirst> by_free;
         MachinesByName stopping;
-        std::array<MachinesByName, wire::priority_levels> may_free;
+        std::array<MachinesByName, wire::priority_levels> may_yield_capacity;
     };
 
     // Marks the machine for the next refresh: an attempt on it was added, removed or told to stop, or its
     // type, zone or capacity became known.
-    void changed(Machine& m);
-    void removed(Machine& m);
+    void mark_changed(Machine& m);
+    void remove(Machine& m);
     // Updates the entries of all marked machines, and `Machine::free` of each.
     void refresh();
     const std::map<std::tuple<std::string, std::string, bool>, std::unique_ptr<MachineClass>>& classes()
--- a/src/placement/cluster.cpp
+++ b/src/placement/cluster.cpp
@@ -66,12 +66,12 @@
 
 void Cluster::set_types(std::vector<wire::MachineType> types) {
     for (auto& t : types) types_[t.name] = t;
-    usual_boot_s_ = 0;
+    longest_cpu_boot_s_ = 0;
     for (auto& [name, t] : types_)
-        if (t.gpus <= 0) usual_boot_s_ = std::max(usual_boot_s_, t.boot_s);
+        if (t.gpus <= 0) longest_cpu_boot_s_ = std::max(longest_cpu_boot_s_, t.boot_s);
     for (auto& [id, job] : jobs_) job->candidate_class_count = 0;
     for (auto& [name, m] : machines_) {
-        capacity_index_.changed(*m);
+        capacity_index_.mark_changed(*m);
         auto it = types_.find(m->type);
         if (it == types_.end()) continue;
         m->capacity = {it->second.cpus, it->second.gpus, it->second.mem_gb};
@@ -167,7 +167,7 @@
 }
 
 bool Cluster::start_is_overdue(const Job& job, TimePoint now) const {
-    double max_wait_s = std::max(60.0, 2 * usual_boot_s_);
+    double max_wait_s = std::max(60.0, 2 * longest_cpu_boot_s_);
     for (auto* objective : job.objectives)
         if (objective->kind == "wait") max_wait_s = std::max(max_wait_s, objective->within_s);
     // A job that waits because of its own limit is not starved by other jobs.
@@ -178,8 +178,8 @@
     starvation_.begin_pass(now);
     for (auto& [id, job] : jobs_) {
         if (job->cancelled) continue;
-        job->objective_missed = !job->fully_scheduled && start_is_overdue(*job, now);
-        if (job->fully_scheduled || job->objective_missed)
+        job->start_overdue = !job->fully_scheduled && start_is_overdue(*job, now);
+        if (job->fully_scheduled || job->start_overdue)
             starvation_.observe(job->spec.job_class, job->spec.team, job->fully_scheduled);
     }
     return starvation_.end_pass(now);
@@ -263,7 +263,7 @@
     cancel(job, now);
 }
 
-void Cluster::on_errors_recorded(Job& job, const std::map<std::uint32_t, state::TaskErrors>& written) {
+void Cluster::on_errors_recorded(Job& job, const std::map<std::uint32_t, state::TaskFailures>& written) {
     for (auto it = job.unrecorded_errors.begin(); it != job.unrecorded_errors.end();) {
         auto current = job.errors.find(*it);
         auto recorded = written.find(*it);
--- a/src/placement/cluster.hpp
+++ b/src/placement/cluster.hpp
@@ -45,7 +45,7 @@
     double heartbeat_s = 3, lease_s = 20, gang_wait_s = 30, gang_peer_s = 4, cancel_s = 30;
     std::map<std::string, TeamLimits> teams;
     std::vector<ServiceLevelObjective> objectives;
-    std::uint64_t queue_bound = queue::default_bound;
+    std::uint64_t queue_bound = queue::default_max_waiting_tasks;
     std::size_t txn_ops = 16, value_bytes = 32 * 1024;
     // The operator's quota tree; absent: only the platform's team limits apply.
     std::optional<std::vector<quota::QuotaEntry>> quotas;
@@ -78,29 +78,31 @@
     // already read the new record. Until the outcome is known, no request is answered from memory.
     bool write_in_flight = false, write_unanswered = false;
     bool write_outcome_unknown() const { return write_in_flight || write_unanswered; }
-    bool fully_scheduled = false;   // every task has been started at least once
-    bool objective_missed = false;  // by the last check_starvation(): overdue, and not fully scheduled
+    bool fully_scheduled = false;  // every task has been started at least once
+    bool start_overdue = false;    // by the last check_starvation(): overdue, and not fully scheduled
     // By task index: each machine and attempt number that may exist for the task. A task is started only
     // while it has no entry.
     std::unordered_map<std::uint32_t, std::vector<std::pair<std::string, std::uint64_t>>> placements;
     TimePoint retry_at{};
-    int errors_in_row = 0;
-    std::set<std::string> failed_on;  // names of machines on which a task failed
+    int consecutive_errors = 0;
+    std::set<std::string> failed_machines;  // names of machines on which a task failed
     // For a job that limits its retries: the failure count of each task, and the tasks whose count is not
     // recorded yet. Until the count is recorded, the worker keeps the failed attempt and the task is not
     // restarted, so that a successor counts each failure exactly once.
-    std::map<std::uint32_t, state::TaskErrors> errors;
+    std::map<std::uint32_t, state::TaskFailures> errors;
     std::set<std::uint32_t> unrecorded_errors;
     std::optional<wire::ErrorCount> error_count;
-    double run_sum = 0;  // total run time of the measured tasks, in seconds
-    int runs = 0;        // number of measured tasks
+    double total_run_s = 0;  // total run time of the measured tasks, in seconds
+    int measured_runs = 0;   // number of measured tasks
 
     bool finished() const { return done.size() == spec.tasks; }
     wire::JobState job_state() const;
     std::uint64_t running() const { return placements.size(); }
     // Estimated run time of a task: the mean of the finished ones, or the owner's estimate until two have
     // finished.
-    double estimated_run_s() const { return runs >= 2 ? run_sum / runs : std::max(1.0, spec.estimate_s); }
+    double estimated_run_s() const {
+        return measured_runs >= 2 ? total_run_s / measured_runs : std::max(1.0, spec.estimate_s);
+    }
 };
 
 // Whether a task of the job fits an empty machine of the type, or of one of the types.
@@ -111,7 +113,7 @@
 struct Write {
     std::string key;
     std::optional<wire::Json> value;  // absent: delete the record
-    std::function<void()> durable;
+    std::function<void()> on_durable;
 };
 
 // Bounds the duration of a scheduling round and the writes that its starts queue; the next round follows at
@@ -141,7 +143,7 @@
     const std::map<std::string, wire::MachineType>& types() const { return types_; }
 
     // Sets the fencing token that commands carry. The first call also sets when this leader's term began.
-    void lead(std::uint64_t fencing_token, TimePoint acquired) {
+    void set_fencing_token(std::uint64_t fencing_token, TimePoint acquired) {
         fencing_token_ = fencing_token;
         if (acquired_ == TimePoint{}) acquired_ = acquired, first_fencing_token_ = fencing_token;
     }
@@ -194,7 +196,7 @@
                          std::int64_t wall_ms);
     // An assignment shard cannot be read, so any task may be running on any machine. No task is started
     // before `until`, by when every attempt that no worker has reported has certainly ended.
-    void note_unreadable_record(std::optional<std::uint32_t> shard, TimePoint until) {
+    void on_unreadable_shard(std::optional<std::uint32_t> shard, TimePoint until) {
         starts_deferred_until_ = std::max(starts_deferred_until_, until);
         if (shard) shards_.quarantine(*shard);
     }
@@ -203,8 +205,8 @@
     const std::map<std::string, std::unique_ptr<Machine>>& machines() const { return machines_; }
     // Removes a machine that is proven to be gone for good. Machine names are not reused, so heartbeats under
     // the name are ignored from then on. `proof` is logged.
-    void machine_gone(const std::string& name, const char* proof, TimePoint now);
-    bool is_gone(const std::string& name) const { return removed_machines_.contains(name); }
+    void remove_machine(const std::string& name, const char* proof, TimePoint now);
+    bool is_removed(const std::string& name) const { return removed_machines_.contains(name); }
     void expire_lease(Machine& m, TimePoint now);
 
     // Applies a heartbeat. Returns false and changes nothing if the machine was removed or the heartbeat is
@@ -256,24 +258,26 @@
     bool eligible(const wire::JobSpec& spec, const std::string& type, const std::string& zone,
                   bool spot) const;
     bool has_unanswered_launch(TimePoint now) const;  // a launch push has been unanswered for too long
-    bool gpu_reserved(const wire::JobSpec& spec, const wire::MachineType& t) const;
+    bool is_gpu_reserved(const wire::JobSpec& spec, const wire::MachineType& type) const;
     std::set<std::string> take_machines_with_commands() {
         return std::exchange(machines_with_commands_, {});
     }  // machines with commands to send; clears the set
-    // Resources held by tasks that work at priority `level` may preempt; `kept`: only tasks that checkpoint.
-    wire::Resources preemptible(const Machine& m, wire::Priority level, bool kept = false) const;
+    // Resources held by tasks that work at priority `level` may preempt; `checkpointing_only`: only tasks
+    // that checkpoint.
+    wire::Resources preemptible(const Machine& m, wire::Priority level,
+                                bool checkpointing_only = false) const;
     // Seconds from now within which all of the job's tasks should have started to meet its objectives.
     double objective_slack_s(const Job& job, TimePoint now) const;
     // Whether a job may preempt tasks of lower priority. A job at `high` or above always may. Below, an array
     // job may if it would miss its objective by waiting for a machine to boot, and it may then preempt only
     // tasks that checkpoint.
     bool may_preempt(const Job& job, TimePoint now) const;
-    double usual_boot_s() const { return usual_boot_s_; }
+    double longest_cpu_boot_s() const { return longest_cpu_boot_s_; }
     bool runs_service(const Machine& m) const;
     // Schedulable machines with room for a task of the job, best first.
     std::vector<Machine*> rank_machines(Job& job, TimePoint now);
     const CapacityIndex& capacity_index() const { return capacity_index_; }
-    void note_command(const std::string& machine) { machines_with_commands_.insert(machine); }
+    void mark_command_pending(const std::string& machine) { machines_with_commands_.insert(machine); }
 
   private:
     void apply_changes(Machine& m, const std::vector<fleet::AssignmentChange>& changes, TimePoint now);
@@ -282,7 +286,7 @@
     void set_waiting(Job& job, std::uint32_t index, bool waiting);
     void finish_task(Job& job, std::uint32_t index);
     void count_error(Job& job, const Machine& m, const Attempt& a, TimePoint now);
-    void on_errors_recorded(Job& job, const std::map<std::uint32_t, state::TaskErrors>& written);
+    void on_errors_recorded(Job& job, const std::map<std::uint32_t, state::TaskFailures>& written);
     // Whether the attempt failed and its failure was counted but is not recorded yet.
     bool has_unrecorded_error(const Attempt& a, const Assignment& e) const;
     void mark_write_pending(Job& job);
@@ -296,12 +300,13 @@
     void release_charge(Assignment& e);
     quota::NodeId account_of(const wire::JobSpec& spec) const;
     // Places at most `max_tasks` waiting tasks of the job in free capacity.
-    struct Scheduled {
+    struct ScheduleResult {
         std::size_t placed = 0;
         bool stopped = false;  // a task was told to stop, to make room where the image is
         bool no_room = false;  // no machine had room for a task
     };
-    Scheduled schedule_job(Job& job, std::uint32_t max_tasks, TimePoint now, bool make_way, bool may_fit);
+    ScheduleResult schedule_job(Job& job, std::uint32_t max_tasks, TimePoint now, bool preempt_for_image,
+                                bool shape_may_fit);
     // Places waiting tasks by strict priority and age; `placed` tasks were already placed in this round.
     bool schedule_by_priority(TimePoint now, std::size_t placed);
     // Places work within unused guarantees, and preempts tasks that borrow the guaranteed capacity.
@@ -322,7 +327,7 @@
     state::MachineRecord record_of(const Machine& m, TimePoint now, std::int64_t wall_ms) const;
     std::size_t max_tasks_per_machine() const;  // bounded so that a machine's record fits one value
     void drop_unsent_starts(Machine& m);
-    void place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt, TimePoint now);
+    void place_task(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt, TimePoint now);
     bool place_gang(Job& job, TimePoint now);
     struct PreemptionResult {
         std::uint32_t tasks = 0;  // tasks for which room was found or is being made
@@ -335,7 +340,7 @@
     void stop_gang(Job& job, double grace, TimePoint now, const char* why);
     // Whether the job has shown that its tasks can run; a failure is then attributed to the machine.
     bool has_proven_run(const Job& job, TimePoint now) const;
-    bool cleared_for(const Machine& m, const Job& job, TimePoint now) const;
+    bool passes_failure_check(const Machine& m, const Job& job, TimePoint now) const;
     bool may_reap(const Attempt& a, const Assignment& e) const;
     double grace_for(const Job& job) const { return job.spec.checkpoint_s > 0 ? job.spec.save_s + 1.0 : 0.0; }
     std::uint64_t next_attempt() { return (first_fencing_token_ << 20) + ++attempts_; }
@@ -354,14 +359,14 @@
     std::deque<Write> queued_writes_;
     quota::Ledger ledger_;
     // Charges of the current round for room that is being made for work within its guarantee.
-    std::vector<std::pair<quota::NodeId, wire::Resources>> promised_;
+    std::vector<std::pair<quota::NodeId, wire::Resources>> reclaim_charges_;
     TimePoint quotas_changed_{};
     double over_limit_grace_s_ = 120;
     std::uint64_t fencing_token_ = 0, first_fencing_token_ = 0, attempts_ = 0;
     TimePoint acquired_{}, starts_deferred_until_{};
     CapacityIndex capacity_index_;
     std::vector<Machine*> reserved_;  // machines with a reservation in the current round
-    double usual_boot_s_ = 0;
+    double longest_cpu_boot_s_ = 0;
     StarvationMonitor starvation_;
     // Jobs that workers or assignment shards name and that this leader doesn't know.
     std::unordered_set<std::string> unknown_jobs_;
@@ -375,12 +380,12 @@
     std::vector<std::uint32_t> free_shapes_;
     void release_shape(const Job& job);
     // The waiting jobs of a priority level in queue order, cached for one value of JobQueue::changes().
-    struct Order {
+    struct WaitingOrder {
         std::uint64_t changes = ~0ULL;
         std::vector<Job*> jobs;
     };
-    std::array<Order, wire::priority_levels> order_;
-    const std::vector<Job*>& in_order(int level);
+    std::array<WaitingOrder, wire::priority_levels> waiting_order_;
+    const std::vector<Job*>& waiting_jobs_in_order(int level);
 };
 
 }  // namespace barrowrun::placement
--- a/src/placement/delegation.cpp
+++ b/src/placement/delegation.cpp
@@ -59,13 +59,13 @@
 void Cluster::delegated_results_recorded(Job& job, const IndexSet& done) {
     job.durable_done.insert(done);
     for (auto& [index, list] : job.placements)
-        for (auto& [name, number] : list) note_command(name);
+        for (auto& [name, number] : list) mark_command_pending(name);
 }
 
 void Cluster::drop_delegated_shard(Job& job) {
     const auto id = job.spec.id;
     for (auto& [index, list] : job.placements)
-        for (auto& [name, number] : list) note_command(name);
+        for (auto& [name, number] : list) mark_command_pending(name);
     queue_.set_waiting(job.spec.priority, {job.accepted_ms, id}, job.waiting.size(), 0);
     release_shape(job);
     changed_delegated_shards_.erase(id);
--- a/src/placement/eligibility.cpp
+++ b/src/placement/eligibility.cpp
@@ -11,7 +11,7 @@
            now - m.last_heartbeat < secs(config_.heartbeat_s * 1.25 + 1.5);
 }
 
-bool Cluster::gpu_reserved(const wire::JobSpec& spec, const wire::MachineType& type) const {
+bool Cluster::is_gpu_reserved(const wire::JobSpec& spec, const wire::MachineType& type) const {
     if (type.gpus <= 0 || spec.need.gpus > 0) return false;
     for (auto& [name, other_type] : types_)
         if (other_type.gpus <= 0 && spec.need.fits({other_type.cpus, other_type.gpus, other_type.mem_gb}) &&
@@ -26,7 +26,7 @@
     if (spec.zone && *spec.zone != zone) return false;
     if (spec.types && std::find(spec.types->begin(), spec.types->end(), type) == spec.types->end())
         return false;
-    if (auto t = types_.find(type); t != types_.end() && gpu_reserved(spec, t->second)) return false;
+    if (auto t = types_.find(type); t != types_.end() && is_gpu_reserved(spec, t->second)) return false;
     return true;
 }
 
--- a/src/placement/expiry.cpp
+++ b/src/placement/expiry.cpp
@@ -26,8 +26,8 @@
         if (m.has_live()) m.idle_since = now;
         failure_attribution::update_quarantine(m, now, [&] {
             return std::any_of(jobs_.begin(), jobs_.end(), [&](auto& kv) {
-                return kv.second->failed_on.contains(m.name) &&
-                       (kv.second->failed_on.size() < failure_attribution::fails_anywhere_after ||
+                return kv.second->failed_machines.contains(m.name) &&
+                       (kv.second->failed_machines.size() < failure_attribution::min_machines_for_job_fault ||
                         has_proven_run(*kv.second, now));
             });
         });
--- a/src/placement/failure_attribution.cpp
+++ b/src/placement/failure_attribution.cpp
@@ -31,7 +31,7 @@
     if (job_proven) machine.attributed_errors++;
 }
 
-void absolve(fleet::Machine& machine) {
+void clear_unattributed_failures(fleet::Machine& machine) {
     if (machine.attributed_errors == 0) machine.errors = 0;
 }
 
--- a/src/placement/failure_attribution.hpp
+++ b/src/placement/failure_attribution.hpp
@@ -16,7 +16,7 @@
 inline constexpr std::chrono::seconds quarantine_time{60};
 // A job that has failed on this many machines is taken to fail on any machine: its failures are attributed to
 // the job.
-inline constexpr std::size_t fails_anywhere_after = 3;
+inline constexpr std::size_t min_machines_for_job_fault = 3;
 
 // A task has succeeded: resets the machine's count of consecutive failures.
 void record_success(fleet::Machine& machine);
@@ -26,7 +26,7 @@
 
 // A job that failed on the machine turned out to fail on any machine: clears the machine's consecutive
 // failures, unless some of them were attributed to the machine.
-void absolve(fleet::Machine& machine);
+void clear_unattributed_failures(fleet::Machine& machine);
 
 // Whether the machine may be given a task. While it has consecutive failures it gets no service replicas and
 // only one trial task at a time; if failures were attributed to it, it gets no task of a job that failed
--- a/src/placement/quota_enforcement.cpp
+++ b/src/placement/quota_enforcement.cpp
@@ -117,7 +117,7 @@
     std::set<std::pair<quota::NodeId, std::string>> failed_reclaims;
     std::vector<Job*> order;
     for (int level = 0; level < wire::priority_levels; ++level)
-        for (Job* job : in_order(level))
+        for (Job* job : waiting_jobs_in_order(level))
             if (!job->cancelled && now >= job->retry_at) order.push_back(job);
     for (auto depth = deepest; depth > 0; --depth)
         for (Job* job : order) {
@@ -182,7 +182,7 @@
                 if (e.stop_requested && !e.exited() && e.account != quota::no_node)
                     ledger.release(e.account, e.need);
             if ((!zone.empty() && m->zone != zone) || !schedulable(*m, now) || !eligible(s, *m) ||
-                !cleared_for(*m, job, now) || !zone_constraint.allows(m->zone))
+                !passes_failure_check(*m, job, now) || !zone_constraint.allows(m->zone))
                 continue;
             hosts.push_back(m.get());
             rooms.push_back(capacity_after_stops(capacity_index_.find(*m)));
@@ -198,7 +198,7 @@
         for (auto h : plan.task_hosts) {
             reserve(*hosts[h], s.need);
             ledger_.charge(job.account, s.need);
-            promised_.emplace_back(job.account, s.need);
+            reclaim_charges_.emplace_back(job.account, s.need);
         }
         for (auto u : plan.victims) {
             auto& [m, a] = running.tasks[u];
@@ -310,7 +310,8 @@
     std::uint64_t tasks_before = 0;
     for (int level = 0; level <= static_cast<int>(s.priority); ++level)
         for (auto& p : queue_.level(level)) {
-            if (level == static_cast<int>(s.priority) && !(p < queue::Position{job.accepted_ms, s.id})) break;
+            if (level == static_cast<int>(s.priority) && !(p < queue::QueuePosition{job.accepted_ms, s.id}))
+                break;
             if (auto it = jobs_.find(p.id); it != jobs_.end()) tasks_before += it->second->waiting.size();
         }
     if (gang && fitting < s.tasks)
--- a/src/placement/record_writes.cpp
+++ b/src/placement/record_writes.cpp
@@ -113,7 +113,7 @@
                      auto it = m->assignments.find(a);
                      if (it != m->assignments.end() && it->second.phase == AssignmentPhase::recording)
                          it->second.phase = AssignmentPhase::ready;
-                     note_command(name);
+                     mark_command_pending(name);
                  }
              }});
     }
@@ -142,11 +142,11 @@
                      spdlog::debug("job {}: end recorded as {}", id, wire::job_state_name(finished.state));
                      finished_jobs_[id] = finished;
                      for (auto& [index, list] : j->placements)
-                         for (auto& [name, number] : list) note_command(name);
+                         for (auto& [name, number] : list) mark_command_pending(name);
                      queue_.set_waiting(j->spec.priority, {j->accepted_ms, id}, j->waiting.size(), 0);
                      release_shape(*j);
-                     if (j->fully_scheduled || j->objective_missed)
-                         starvation_.job_over(j->spec.job_class, j->spec.team, j->fully_scheduled);
+                     if (j->fully_scheduled || j->start_overdue)
+                         starvation_.record_finished_job(j->spec.job_class, j->spec.team, j->fully_scheduled);
                      jobs_.erase(id);
                  }});
             add({state::job_key(id), std::nullopt, {}});
--- a/src/placement/scheduling.cpp
+++ b/src/placement/scheduling.cpp
@@ -40,7 +40,8 @@
         if (!s.need.fits(available) || !schedulable(m, now) ||
             m.assignments.size() >= max_tasks_per_machine())
             return;
-        scored.emplace_back(machine_scores::for_task(m, s, available, job.failed_on.contains(m.name)), &m);
+        scored.emplace_back(machine_scores::for_task(m, s, available, job.failed_machines.contains(m.name)),
+                            &m);
     };
     capacity_index_.refresh();
     for (auto* machine_class : candidate_classes(job))
@@ -54,7 +55,7 @@
     return ranked;
 }
 
-void Cluster::place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt, TimePoint now) {
+void Cluster::place_task(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt, TimePoint now) {
     Attempt a{{job.spec.id, index}, attempt};
     Assignment e;
     e.placed_at = now;
@@ -86,18 +87,18 @@
     std::sort(candidates.begin(), candidates.end(), CapacityIndex::ByName{});
     for (auto* indexed : candidates) {
         Machine& m = *indexed->machine;
-        if (!job.spec.need.fits(m.unreserved()) || !schedulable(m, now) || !cleared_for(m, job, now) ||
-            m.slowness > machine_scores::max_slowness)
+        if (!job.spec.need.fits(m.unreserved()) || !schedulable(m, now) ||
+            !passes_failure_check(m, job, now) || m.slowness > machine_scores::max_slowness)
             continue;
         hosts.push_back({m.zone, m.unreserved(), m.capacity.cpus,
-                         machine_scores::for_gang_task(m, job.spec, job.failed_on.contains(m.name))});
+                         machine_scores::for_gang_task(m, job.spec, job.failed_machines.contains(m.name))});
         machines.push_back(&m);
     }
     auto chosen_hosts = gangs::choose_hosts(job.spec, hosts, {zones.begin(), zones.end()});
     if (chosen_hosts.empty()) return false;
     const std::uint64_t attempt = next_attempt();
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
-        place(job, i, *machines[chosen_hosts[i]], attempt, now);
+        place_task(job, i, *machines[chosen_hosts[i]], attempt, now);
     spdlog::info("job {}: gang placed as attempt {} on {} machines", job.spec.id, attempt,
                  std::set<std::size_t>(chosen_hosts.begin(), chosen_hosts.end()).size());
     return true;
@@ -128,7 +129,7 @@
 
 bool Cluster::may_preempt(const Job& job, TimePoint now) const {
     if (job.spec.priority <= Priority::high) return true;
-    return job.spec.kind == JobKind::array && objective_slack_s(job, now) < usual_boot_s();
+    return job.spec.kind == JobKind::array && objective_slack_s(job, now) < longest_cpu_boot_s();
 }
 
 // Makes room for up to `tasks` tasks of the job by preempting tasks of lower priority. Capacity that earlier
@@ -148,10 +149,10 @@
     std::vector<const CapacityIndex::MachineClass*> classes;
     capacity_index_.refresh();
     for (auto* machine_class : candidate_classes(job))
-        if (!machine_class->may_free[level].empty() && zones.allows(machine_class->zone))
+        if (!machine_class->may_yield_capacity[level].empty() && zones.allows(machine_class->zone))
             classes.push_back(machine_class);
     auto is_usable = [&](const Machine& m) {
-        return schedulable(m, now) && cleared_for(m, job, now) &&
+        return schedulable(m, now) && passes_failure_check(m, job, now) &&
                m.slowness <= machine_scores::max_slowness && (!with_image || m.has_image(job.spec.image));
     };
     // First reserves capacity that is free or about to be freed: on machines where a task is being stopped,
@@ -162,7 +163,7 @@
                                 machine_class->stopping.end());
         CapacityIndex::for_each_with_free_cpus(
             *machine_class, need, [&](const CapacityIndex::IndexedMachine& indexed) {
-                if (indexed.capacity.may_free[level] && !indexed.capacity.has_stopping)
+                if (indexed.capacity.may_yield_capacity[level] && !indexed.capacity.has_stopping)
                     indexed_machines.push_back(&indexed);
             });
     }
@@ -182,8 +183,8 @@
     if (result.tasks >= tasks) return result;
     indexed_machines.clear();
     for (auto* machine_class : classes)
-        for (auto* indexed : machine_class->may_free[level])
-            if (need.fits(indexed->capacity.up_to_level(static_cast<int>(level))) &&
+        for (auto* indexed : machine_class->may_yield_capacity[level])
+            if (need.fits(indexed->capacity.attainable_for_level(static_cast<int>(level))) &&
                 !already_reserved.contains(indexed))
                 indexed_machines.push_back(indexed);
     std::sort(indexed_machines.begin(), indexed_machines.end(), CapacityIndex::ByName{});
@@ -250,19 +251,19 @@
 
 // Places up to `max_tasks` waiting tasks of the job, by index, on the machines that suit it best.
 // `preempt_for_image`: tasks of lower priority may be preempted on a machine that has the image, if a fetch
-// would take too long. `may_fit`: false if the job's shape is known to fit on no machine in this round.
-Cluster::Scheduled Cluster::schedule_job(Job& job, std::uint32_t max_tasks, TimePoint now,
-                                         bool preempt_for_image, bool may_fit) {
-    Scheduled result;
+// would take too long. `shape_may_fit`: false if the job's shape is known to fit on no machine in this round.
+Cluster::ScheduleResult Cluster::schedule_job(Job& job, std::uint32_t max_tasks, TimePoint now,
+                                              bool preempt_for_image, bool shape_may_fit) {
+    ScheduleResult result;
     const auto& s = job.spec;
     std::vector<Machine*> ranked;
-    if (may_fit) ranked = rank_machines(job, now);
+    if (shape_may_fit) ranked = rank_machines(job, now);
     std::size_t next_machine = 0;
     ZoneConstraint zones(*this, job.spec, &job);
     auto choose_machine = [&]() -> Machine* {
         for (; next_machine < ranked.size(); ++next_machine) {
             if (s.need.fits(ranked[next_machine]->unreserved()) &&
-                cleared_for(*ranked[next_machine], job, now) &&
+                passes_failure_check(*ranked[next_machine], job, now) &&
                 ranked[next_machine]->assignments.size() < max_tasks_per_machine() &&
                 zones.allows(ranked[next_machine]->zone))
                 return ranked[next_machine];
@@ -276,7 +277,7 @@
         Machine* m = choose_machine();
         // A worker rejects a second attempt of a task whose earlier attempt it still lists.
         if (m && m->holds_task({s.id, index})) {
-            note_command(m->name);
+            mark_command_pending(m->name);
             break;
         }
         if (m && preempt_for_image && s.priority <= Priority::high && !m->has_image(s.image)) {
@@ -295,7 +296,7 @@
             result.no_room = true;
             break;
         }
-        place(job, index, *m, next_attempt(), now);
+        place_task(job, index, *m, next_attempt(), now);
         zones.add(m->zone);
         ++result.placed;
         cursor = index + 1;
@@ -308,8 +309,8 @@
     std::size_t placed = 0;
     bool acted = ledger_.tree().has_guarantees() && schedule_guaranteed(now, placed);
     acted |= schedule_by_priority(now, placed);
-    for (auto& [account, need] : promised_) ledger_.release(account, need);
-    promised_.clear();
+    for (auto& [account, need] : reclaim_charges_) ledger_.release(account, need);
+    reclaim_charges_.clear();
     for (Machine* m : reserved_) m->reserved = {};
     reserved_.clear();
     return acted;
@@ -321,8 +322,8 @@
     reserved_.push_back(&m);
 }
 
-const std::vector<Job*>& Cluster::in_order(int level) {
-    Order& order = order_[static_cast<std::size_t>(level)];
+const std::vector<Job*>& Cluster::waiting_jobs_in_order(int level) {
+    WaitingOrder& order = waiting_order_[static_cast<std::size_t>(level)];
     if (order.changes != queue_.changes(level)) {
         order.changes = queue_.changes(level);
         order.jobs.clear();
@@ -341,7 +342,7 @@
     std::vector<bool> unplaceable(shapes);
     for (int level = 0; level < wire::priority_levels; ++level) {
         std::vector<bool> preemption_insufficient(shapes);  // preemption cannot make room either
-        for (Job* job : in_order(level)) {
+        for (Job* job : waiting_jobs_in_order(level)) {
             if (placed >= max_starts_per_round) return true;
             if (job->cancelled || now < job->retry_at) continue;
             const auto& s = job->spec;
@@ -389,9 +390,9 @@
     return false;
 }
 
-bool Cluster::cleared_for(const Machine& m, const Job& job, TimePoint now) const {
+bool Cluster::passes_failure_check(const Machine& m, const Job& job, TimePoint now) const {
     return failure_attribution::may_take_work(m, job.spec.kind == JobKind::service,
-                                              job.failed_on.contains(m.name), now);
+                                              job.failed_machines.contains(m.name), now);
 }
 
 }  // namespace barrowrun::placement
--- a/src/placement/starvation_monitor.cpp
+++ b/src/placement/starvation_monitor.cpp
@@ -24,7 +24,8 @@
     return &groups_[name];
 }
 
-void StarvationMonitor::job_over(const std::string& job_class, const std::string& team, bool served) {
+void StarvationMonitor::record_finished_job(const std::string& job_class, const std::string& team,
+                                            bool served) {
     for (auto& name : {"class " + job_class, "team " + team})
         if (Group* g = find_or_add_group(name)) (served ? g->served : g->missed) += 1;
 }
--- a/src/placement/starvation_monitor.hpp
+++ b/src/placement/starvation_monitor.hpp
@@ -31,14 +31,14 @@
     struct Finding {
         std::string group;  // `class NAME` or `team NAME`
         State state = State::healthy;
-        double share = 1, waiting = 0;  // waiting: number of overdue jobs
+        double served_share = 1, overdue_jobs = 0;
     };
 
     StarvationMonitor() = default;
     explicit StarvationMonitor(Thresholds thresholds) : thresholds_(thresholds) {}
     // Counts a finished job. `served`: all of its tasks had started once. The caller doesn't report a job
     // that ended before it was served or overdue.
-    void job_over(const std::string& job_class, const std::string& team, bool served);
+    void record_finished_job(const std::string& job_class, const std::string& team, bool served);
     // A pass over the unfinished jobs: `begin_pass`, then `observe` for each job that is served or overdue.
     void begin_pass(TimePoint now);
     void observe(const std::string& job_class, const std::string& team, bool served);
--- a/src/placement/zones.cpp
+++ b/src/placement/zones.cpp
@@ -25,7 +25,7 @@
 // Registers an attempt that may be on a machine: takes its task out of the queue, charges its quota account
 // and copies the attributes of its job into the assignment.
 void Cluster::occupy(Job& job, const Attempt& a, Assignment& e, Machine& m) {
-    capacity_index_.changed(m);
+    capacity_index_.mark_changed(m);
     e.need = job.spec.need;
     e.service = job.spec.kind == JobKind::service;
     e.priority = job.spec.priority;
--- a/src/queue/job_queue.cpp
+++ b/src/queue/job_queue.cpp
@@ -2,7 +2,7 @@
 
 namespace barrowrun::queue {
 
-void JobQueue::set_waiting(wire::Priority level, const Position& position, std::uint64_t before,
+void JobQueue::set_waiting(wire::Priority level, const QueuePosition& position, std::uint64_t before,
                            std::uint64_t now) {
     auto& level_queue = levels_[static_cast<std::size_t>(level)];
     waiting_ = waiting_ - before + now;
--- a/src/state/records.hpp
+++ b/src/state/records.hpp
@@ -72,10 +72,10 @@
 
 // Failures of one task. Each failed attempt is counted once: attempt numbers only grow, so all attempts up to
 // `last` have been counted.
-struct TaskErrors {
+struct TaskFailures {
     std::uint32_t count = 0;
     std::uint64_t last = 0;  // attempt number
-    bool operator==(const TaskErrors&) const = default;
+    bool operator==(const TaskFailures&) const = default;
 };
 
 struct Progress {
@@ -83,7 +83,7 @@
     bool cancelled = false;
     bool failed = false;  // the scheduler cancelled the job because a task failed too often
     // Present only for jobs that count their failures.
-    std::map<std::uint32_t, TaskErrors> errors{};
+    std::map<std::uint32_t, TaskFailures> errors{};
     std::optional<wire::ErrorCount> total{};
 };
 Json to_json(const Progress& p, std::uint32_t tasks);
--- a/src/state/state_client.cpp
+++ b/src/state/state_client.cpp
@@ -101,7 +101,7 @@
     const bool answered = reply.status != 0 && reply.status != 503;
     if (!answered && last_failure_ <= last_response_) failing_since_ = Clock::now();
     (answered ? last_response_ : last_failure_) = Clock::now();
-    if (auto line = reach_.note(answered, Clock::now())) spdlog::warn("{}", *line);
+    if (auto line = outage_log_.note(answered, Clock::now())) spdlog::warn("{}", *line);
 }
 
 Task<> StateClient::wait_for_request_budget() {
--- a/src/state/state_client.hpp
+++ b/src/state/state_client.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "net/http_client.hpp"
-#include "net/reach.hpp"
+#include "net/outage_log.hpp"
 
 namespace barrowrun::state {
 
@@ -151,7 +151,7 @@
     net::HttpClient client_;
     net::RateBudget request_budget_, write_budget_, lookup_budget_;
     TimePoint last_response_{}, last_failure_{}, failing_since_{};
-    net::Reach reach_{"the state service"};
+    net::OutageLog outage_log_{"the state service"};
 };
 
 }  // namespace barrowrun::state
--- a/src/worker/agent.cpp
+++ b/src/worker/agent.cpp
@@ -1,7 +1,7 @@
 #include "worker/agent.hpp"
 
 #include "config/schema.hpp"
-#include "net/reach.hpp"
+#include "net/outage_log.hpp"
 #include "worker/worker_schema.hpp"
 
 namespace barrowrun::worker {
@@ -139,7 +139,7 @@
     std::vector<std::pair<std::string, std::string>> controllers(settings_.controllers.begin(),
                                                                  settings_.controllers.end());
     std::size_t current = std::hash<std::string>{}(settings_.name) % controllers.size();
-    net::Reach reachability("every controller");
+    net::OutageLog reachability("every controller");
     for (;;) {
         auto now = Clock::now();
         auto due = machine_.report_due(now);
--- a/src/worker/executor.hpp
+++ b/src/worker/executor.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 
 #include "depot/depot.hpp"
-#include "net/duties.hpp"
+#include "net/coroutines.hpp"
 #include "worker/machine.hpp"
 #include "worker/process.hpp"
 
--- a/src/worker/process.hpp
+++ b/src/worker/process.hpp
@@ -2,7 +2,7 @@
 // Runs a command as a child process in its own process group and captures its output.
 #include <functional>
 
-#include "net/duties.hpp"
+#include "net/coroutines.hpp"
 #include "proc/spawn.hpp"
 
 namespace barrowrun::worker {
--- a/src/workflow/driver.cpp
+++ b/src/workflow/driver.cpp
@@ -37,7 +37,7 @@
       record_(std::move(flow)),
       settings_(std::move(settings)),
       flow_(rules.graph(), settings_.options),
-      duties_(io),
+      coroutines_(io),
       changed_(io) {
     // A node is known by its name, from run to run; of several of one name, by their order.
     std::map<std::string, int> seen;
@@ -70,8 +70,8 @@
     known_recipes_ = journal_.recipes();
     resume();
     if (!settings_.options.dry_run) {
-        duties_.spawn("watch", std::shared_ptr<int>(), watch());
-        duties_.spawn("sweep", std::shared_ptr<int>(), sweep());
+        coroutines_.spawn("watch", std::shared_ptr<int>(), watch());
+        coroutines_.spawn("sweep", std::shared_ptr<int>(), sweep());
     }
     flow_.begin();
     act();
@@ -83,7 +83,7 @@
     // Jobs that are to be stopped have been told so, or the site can't be reached.
     for (const auto end = Clock::now() + 10s; cancelling_ > 0 && Clock::now() < end;)
         co_await changed_.wait(100ms);
-    duties_.cancel();
+    coroutines_.cancel();
     if (broken_) std::rethrow_exception(broken_);
     auto state = cancelled_ ? FlowState::cancelled : flow_.failed() ? FlowState::failed : FlowState::done;
     if (!settings_.options.dry_run) {
@@ -138,10 +138,10 @@
             while (batch.size() >= batch_size) {
                 std::vector<Handle> part(batch.begin(), batch.begin() + batch_size);
                 batch.erase(batch.begin(), batch.begin() + batch_size);
-                duties_.spawn("begin", std::shared_ptr<int>(), begin(std::move(part)));
+                coroutines_.spawn("begin", std::shared_ptr<int>(), begin(std::move(part)));
             }
         }
-        if (!batch.empty()) duties_.spawn("begin", std::shared_ptr<int>(), begin(std::move(batch)));
+        if (!batch.empty()) coroutines_.spawn("begin", std::shared_ptr<int>(), begin(std::move(batch)));
         if (on_counts) on_counts(flow_.counts());
     } catch (...) {
         broken_ = std::current_exception();
@@ -234,7 +234,7 @@
         changed_.wake();
         co_return;
     }
-    for (auto& s : batch) duties_.spawn("submit", std::shared_ptr<int>(), submit(s));
+    for (auto& s : batch) coroutines_.spawn("submit", std::shared_ptr<int>(), submit(s));
 }
 
 void Driver::put_on_record(const std::vector<Handle>& batch) {
@@ -352,7 +352,7 @@
     if (outcome.answer == Answer::unknown) {
         // On record here and not there: the submission was lost on its way.
         s->submitted = false;
-        duties_.spawn("submit", std::shared_ptr<int>(), submit(s));
+        coroutines_.spawn("submit", std::shared_ptr<int>(), submit(s));
         co_return;
     }
     if (outcome.answer != Answer::accepted) co_return;
@@ -397,7 +397,7 @@
     }
     if (why == "cancelled") {
         ++cancelling_;
-        duties_.spawn("cancel", std::shared_ptr<int>(), stop_job(s->job));
+        coroutines_.spawn("cancel", std::shared_ptr<int>(), stop_job(s->job));
     }
     finish(s, false, why);
 }
--- a/src/workflow/driver.hpp
+++ b/src/workflow/driver.hpp
@@ -79,7 +79,7 @@
     FlowRecord record_;
     DriverSettings settings_;
     Flow flow_;
-    net::Duties duties_;
+    net::CoroutineGroup coroutines_;
     net::Signal changed_;
     net::asio::thread_pool pool_{4};
     std::vector<std::string> keys_;
--- a/tests/assignment_shards_test.cpp
+++ b/tests/assignment_shards_test.cpp
@@ -33,7 +33,7 @@
         for (auto& w : writes) {
             if (w.value) counts.largest = std::max(counts.largest, w.value->dump().size());
             if (stored && w.value) (*stored)[w.key] = *w.value;
-            if (w.durable) w.durable();
+            if (w.on_durable) w.on_durable();
         }
     }
     return counts;
@@ -64,7 +64,8 @@
     }
     ASSERT_EQ(ran.size(), 350u);
     EXPECT_FALSE(f.cluster->has_urgent_writes());
-    for (int i = 0; i < 60; ++i) f.cluster->machine_gone(ran[static_cast<std::size_t>(i)], "returned", f.now);
+    for (int i = 0; i < 60; ++i)
+        f.cluster->remove_machine(ran[static_cast<std::size_t>(i)], "returned", f.now);
     EXPECT_FALSE(f.cluster->has_urgent_writes());
     EXPECT_LE(write_all(f).changes, 20u);
 }
@@ -146,7 +147,7 @@
                 }
                 case 2:
                     if (f.cluster->find_machine(chosen)) {
-                        f.cluster->machine_gone(chosen, "returned", f.now);
+                        f.cluster->remove_machine(chosen, "returned", f.now);
                         sent_launches.erase(chosen);
                     }
                     break;
@@ -186,7 +187,7 @@
                     }
                     for (auto& w : writes) {
                         if (w.value && state::parse_assignment_shard_key(w.key)) stored[w.key] = *w.value;
-                        if (w.durable) w.durable();
+                        if (w.on_durable) w.on_durable();
                     }
                     for (auto& [name, m] : f.cluster->machines())
                         for (auto& c : f.cluster->push_commands(*m, f.now))
@@ -206,15 +207,15 @@
 TEST(Failover, UnreadableRecordDelaysAllStartsForTheDurationOfALease) {
     Fleet f;
     f.add(f.spec("wk-1"));
-    f.cluster->note_unreadable_record(0, f.now + 20s);
+    f.cluster->on_unreadable_shard(0, f.now + 20s);
     f.up("n-1");
     for (auto& w : f.write())
         EXPECT_NE(w.key, state::assignment_shard_key(0))
             << "an unreadable record must stay for the next leader to see";
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_TRUE(f.on("n-1").empty());
     f.now += 21s;
     f.up("n-1");
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_EQ(f.on("n-1").size(), 1u);
 }
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -33,10 +33,10 @@
     f.add(s);
     Autoscaler scaler;
     EXPECT_EQ(ordered_machines(scaler.plan(*f.cluster, f.now), true), 1);
-    scaler.refused({"small", "a", true}, f.now);
-    scaler.refused({"small", "b", true}, f.now);
-    scaler.refused({"card", "a", true}, f.now);
-    scaler.refused({"card", "b", true}, f.now);
+    scaler.on_order_refused({"small", "a", true}, f.now);
+    scaler.on_order_refused({"small", "b", true}, f.now);
+    scaler.on_order_refused({"card", "a", true}, f.now);
+    scaler.on_order_refused({"card", "b", true}, f.now);
     EXPECT_EQ(ordered_machines(scaler.plan(*f.cluster, f.now), true), 0);
     EXPECT_EQ(ordered_machines(scaler.plan(*f.cluster, f.now + 60s), true), 1);
 }
@@ -51,7 +51,7 @@
     Autoscaler scaler;
     ASSERT_GT(ordered_machines(scaler.plan(*f.cluster, f.now), true), 2);
     for (auto type : {"small", "card"})
-        for (auto zone : {"a", "b"}) scaler.refused({type, zone, true}, f.now);
+        for (auto zone : {"a", "b"}) scaler.on_order_refused({type, zone, true}, f.now);
     auto plan = scaler.plan(*f.cluster, f.now + 60s);
     for (auto& o : plan.scale_out) EXPECT_TRUE(!o.offer.spot || o.count == 1);
     EXPECT_GT(ordered_machines(plan, false), 0);
@@ -89,7 +89,7 @@
     Fleet f(config);
     for (auto name : {"n-1", "n-2", "n-3"}) f.up(name);
     f.add(f.spec("wk-1", 12));
-    f.place_all();
+    f.schedule_and_write();
     for (auto name : {"n-1", "n-2", "n-3"}) f.run(name);
     auto machines_ordered_for = [&](std::uint32_t tasks, Clock::duration waited) {
         auto s = f.spec("wk-2", tasks);
@@ -120,7 +120,7 @@
     f.up("n-1");
     f.up("n-2");
     f.add(f.spec("wk-1", 4));
-    f.place_all();
+    f.schedule_and_write();
     Autoscaler scaler;
     EXPECT_TRUE(scaler.plan(*f.cluster, f.now).scale_in.empty());
     f.now += 120s;
@@ -140,7 +140,7 @@
         f.up("n-2");
         f.up("n-3");
         f.add(f.spec("wk-1", 12));
-        f.place_all();
+        f.schedule_and_write();
         for (auto* name : {"n-1", "n-2", "n-3"}) f.run(name);
         Autoscaler scaler;
         scaler.plan(*f.cluster, f.now);
@@ -172,7 +172,7 @@
         s.kind = wire::JobKind::service;
         f.add(s);
         f.up(name).use_image("img", 1);
-        f.place_all();
+        f.schedule_and_write();
         f.run(name);
         f.machine(name).draining = true;  // so that the second replica is placed on the other machine
     }
--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -11,7 +11,7 @@
 #include <unordered_set>
 
 namespace barrowrun::cells {
-struct DelegationPeek {
+struct DelegationTestAccess {
     static std::string text(const IndexSet& s) { return s.empty() ? "-" : "x"; }
     static std::string text(const std::optional<DayTime>& t) {
         return t ? std::to_string(t->time_since_epoch().count()) : "";
@@ -98,8 +98,9 @@
     bool origin_wrote = false, executor_wrote = false;  // written, completion not yet reported
     std::deque<Message> in_flight;
     std::string text() const {
-        std::string s = DelegationPeek::text(origin_record) + "|" + DelegationPeek::text(executor_record) +
-                        "|" + DelegationPeek::text(origin) + "|" + DelegationPeek::text(executor) + "|";
+        std::string s = DelegationTestAccess::text(origin_record) + "|" +
+                        DelegationTestAccess::text(executor_record) + "|" +
+                        DelegationTestAccess::text(origin) + "|" + DelegationTestAccess::text(executor) + "|";
         for (bool b : {origin_done, origin_runs, executor_runs, ever_done, origin_wrote, executor_wrote})
             s += b ? '1' : '0';
         s += std::to_string(tick) + std::to_string(executor_deadline);
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -15,7 +15,7 @@
     for (int i = 0; i < 4; ++i) {
         f.now = std::max(f.now, job.retry_at);
         f.cluster->on_heartbeat(f.heartbeat("n-1"), true, f.now);
-        f.place_all();
+        f.schedule_and_write();
         auto list = f.on("n-1");
         ASSERT_EQ(list.size(), 1u) << i;
         f.run("n-1");
@@ -33,7 +33,7 @@
 int advance(Fleet& f, const std::set<std::string>& faulty_machines, const std::set<std::string>& faulty_jobs,
             std::mt19937& random, std::map<std::string, int>& failures) {
     f.now += 1s;
-    f.place_all();
+    f.schedule_and_write();
     int sent = 0;
     std::vector<std::string> names;
     for (auto& [name, m] : f.cluster->machines()) names.push_back(name);
@@ -111,6 +111,6 @@
     service.kind = wire::JobKind::service;
     service.priority = Priority::production;
     auto& job = f.add(service);
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_EQ(job.placements.size(), 3u);
 }
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -6,73 +6,73 @@
 #include <gtest/gtest.h>
 
 #include "net/http_client.hpp"
-#include "net/reach.hpp"
+#include "net/outage_log.hpp"
 
 using namespace barrowrun;
 using namespace barrowrun::net;
 using namespace std::chrono_literals;
 
-TEST(Rooms, AtTheLimitTheOldestConnectionWithoutARequestIsEvictedFirst) {
-    Rooms rooms(4, 1, 1);
-    auto worker = *rooms.arrive("10.0.0.1").id;
-    rooms.request(worker, Caller::system);
-    rooms.answered(worker);
-    auto silent = *rooms.arrive("10.0.0.9").id;
-    rooms.arrive("10.0.0.9");
-    rooms.arrive("10.0.0.9");
-    auto next = rooms.arrive("10.0.0.2");
+TEST(ConnectionLimiter, AtTheLimitTheOldestConnectionWithoutARequestIsEvictedFirst) {
+    ConnectionLimiter limiter(4, 1, 1);
+    auto worker = *limiter.arrive("10.0.0.1").id;
+    limiter.request(worker, Caller::system);
+    limiter.answered(worker);
+    auto silent = *limiter.arrive("10.0.0.9").id;
+    limiter.arrive("10.0.0.9");
+    limiter.arrive("10.0.0.9");
+    auto next = limiter.arrive("10.0.0.2");
     ASSERT_TRUE(next.id);
     EXPECT_EQ(next.evict, silent);
-    EXPECT_EQ(rooms.size(), 4u);
+    EXPECT_EQ(limiter.size(), 4u);
 }
 
-TEST(Rooms, IdleUsersAreEvictedBeforeIdleWorkersAndServedConnectionsAreKept) {
-    Rooms rooms(3, 1, 1);
-    auto worker = *rooms.arrive("w").id, user = *rooms.arrive("u").id, busy = *rooms.arrive("b").id;
-    rooms.request(worker, Caller::system), rooms.answered(worker);
-    rooms.request(user, Caller::user), rooms.answered(user);
-    rooms.request(busy, Caller::user);
-    auto first = rooms.arrive("x");
+TEST(ConnectionLimiter, IdleUsersAreEvictedBeforeIdleWorkersAndServedConnectionsAreKept) {
+    ConnectionLimiter limiter(3, 1, 1);
+    auto worker = *limiter.arrive("w").id, user = *limiter.arrive("u").id, busy = *limiter.arrive("b").id;
+    limiter.request(worker, Caller::system), limiter.answered(worker);
+    limiter.request(user, Caller::user), limiter.answered(user);
+    limiter.request(busy, Caller::user);
+    auto first = limiter.arrive("x");
     EXPECT_EQ(first.evict, user);
-    rooms.request(*first.id, Caller::user);
-    auto second = rooms.arrive("y");
+    limiter.request(*first.id, Caller::user);
+    auto second = limiter.arrive("y");
     EXPECT_EQ(second.evict, worker);
-    rooms.request(*second.id, Caller::user);
-    EXPECT_FALSE(rooms.arrive("z").id);
+    limiter.request(*second.id, Caller::user);
+    EXPECT_FALSE(limiter.arrive("z").id);
 }
 
-TEST(Rooms, UsersOverTheirShareAreRefusedAndAWorkerIsStillAdmitted) {
-    Rooms rooms(10, 0.8, 1);
-    for (int i = 0; i < 8; ++i) EXPECT_TRUE(rooms.request(*rooms.arrive("lb").id, Caller::user).serve);
-    auto ninth = *rooms.arrive("lb").id;
-    EXPECT_FALSE(rooms.request(ninth, Caller::user).serve);
-    rooms.left(ninth);
-    auto worker = rooms.arrive("w");
+TEST(ConnectionLimiter, UsersOverTheirShareAreRefusedAndAWorkerIsStillAdmitted) {
+    ConnectionLimiter limiter(10, 0.8, 1);
+    for (int i = 0; i < 8; ++i) EXPECT_TRUE(limiter.request(*limiter.arrive("lb").id, Caller::user).serve);
+    auto ninth = *limiter.arrive("lb").id;
+    EXPECT_FALSE(limiter.request(ninth, Caller::user).serve);
+    limiter.left(ninth);
+    auto worker = limiter.arrive("w");
     ASSERT_TRUE(worker.id);
-    EXPECT_TRUE(rooms.request(*worker.id, Caller::system).serve);
-    EXPECT_EQ(rooms.users(), 8u);
+    EXPECT_TRUE(limiter.request(*worker.id, Caller::system).serve);
+    EXPECT_EQ(limiter.users(), 8u);
 }
 
-TEST(Rooms, AnAddressAtItsLimitIsRefusedWhileAnotherIsAdmitted) {
-    Rooms rooms(10, 1, 0.8);
-    for (int i = 0; i < 8; ++i) rooms.request(*rooms.arrive("one").id, Caller::user);
-    EXPECT_FALSE(rooms.arrive("one").id);
-    EXPECT_TRUE(rooms.arrive("two").id);
+TEST(ConnectionLimiter, AnAddressAtItsLimitIsRefusedWhileAnotherIsAdmitted) {
+    ConnectionLimiter limiter(10, 1, 0.8);
+    for (int i = 0; i < 8; ++i) limiter.request(*limiter.arrive("one").id, Caller::user);
+    EXPECT_FALSE(limiter.arrive("one").id);
+    EXPECT_TRUE(limiter.arrive("two").id);
 }
 
-TEST(Reach, AnOutageIsReportedAtGrowingIntervalsAndItsEndOnce) {
-    Reach reach("the cloud");
+TEST(OutageLog, AnOutageIsReportedAtGrowingIntervalsAndItsEndOnce) {
+    OutageLog outage_log("the cloud");
     TimePoint t = TimePoint{} + 100s;
-    EXPECT_FALSE(reach.note(true, t));
-    EXPECT_FALSE(reach.note(false, t));
-    EXPECT_TRUE(reach.note(false, t + 900ms));
-    EXPECT_FALSE(reach.note(false, t + 1s));
+    EXPECT_FALSE(outage_log.note(true, t));
+    EXPECT_FALSE(outage_log.note(false, t));
+    EXPECT_TRUE(outage_log.note(false, t + 900ms));
+    EXPECT_FALSE(outage_log.note(false, t + 1s));
     int lines = 0;
-    for (int s = 2; s < 100; ++s) lines += reach.note(false, t + std::chrono::seconds(s)).has_value();
+    for (int s = 2; s < 100; ++s) lines += outage_log.note(false, t + std::chrono::seconds(s)).has_value();
     EXPECT_GE(lines, 4);
     EXPECT_LE(lines, 8);
-    EXPECT_EQ(reach.note(true, t + 100s), "the cloud answers again, after 100.0 s");
-    EXPECT_FALSE(reach.note(true, t + 101s));
+    EXPECT_EQ(outage_log.note(true, t + 100s), "the cloud answers again, after 100.0 s");
+    EXPECT_FALSE(outage_log.note(true, t + 101s));
 }
 
 namespace {
--- a/tests/job_lifecycle_test.cpp
+++ b/tests/job_lifecycle_test.cpp
@@ -15,7 +15,7 @@
     record.attempts = {{{"wk-1", 0}, 7}, {{"wk-1", 1}, 8}};
     f.cluster->recover_machine(0, record, f.now, f.wall);
     f.up("n-2");
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_TRUE(f.on("n-2").empty());
     // A heartbeat sent before the worker saw the new token does not rule out a late push of the old leader.
     f.cluster->on_heartbeat(f.heartbeat("n-1", {}, 49), true, f.now);
@@ -26,7 +26,7 @@
     EXPECT_EQ(job.placements.size(), 1u);
     EXPECT_TRUE(job.waiting.contains(1));
     // Attempt numbers of different leaders never collide.
-    f.place_all();
+    f.schedule_and_write();
     for (auto& [index, list] : job.placements)
         for (auto& [name, number] : list) EXPECT_TRUE(index == 0 || number > (50ULL << 20));
 }
@@ -39,7 +39,7 @@
                             f.now);
     f.up("n-2");
     auto& job = f.add(f.spec("wk-1", 2));
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_EQ(job.placements.at(0).size(), 1u);
     for (auto& a : f.on("n-2")) EXPECT_NE(a.task.index, 0u);
     EXPECT_TRUE(job.waiting.empty());
@@ -62,7 +62,7 @@
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     f.run("n-1");
     f.write();
     EXPECT_FALSE(job.write_outcome_unknown());
@@ -87,7 +87,7 @@
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     f.run("n-1");
     auto a = f.on("n-1").at(0);
     f.cluster->on_heartbeat(f.heartbeat("n-1", {{a, TaskState::exited, Cause::done, false}}), true, f.now);
@@ -111,7 +111,7 @@
     auto& half_done = f.add(f.spec("wk-1", 2));
     auto& finished = f.add(f.spec("wk-2"));
     auto& cancelled = f.add(f.spec("wk-3"));
-    f.place_all();
+    f.schedule_and_write();
     f.run("n-1");
     std::vector<TaskStatus> tasks;
     for (auto& a : f.on("n-1")) {
@@ -153,7 +153,7 @@
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     auto sent = f.cluster->push_commands(f.machine("n-1"), f.now);
     f.cluster->cancel(job, f.now);
     f.cluster->push_answered(f.machine("n-1"), sent, 10, true, false, f.now);
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -20,7 +20,7 @@
 TEST_F(MachineTest, UnansweredLaunchIsKeptUntilTheWorkerReportsANewerFencingToken) {
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     auto sent = f.cluster->push_commands(f.machine("n-1"), f.now);
     ASSERT_EQ(sent.size(), 1u);
     f.cluster->push_answered(f.machine("n-1"), sent, 10, false, true, f.now);
@@ -36,7 +36,7 @@
 TEST_F(MachineTest, ExitedAttemptIsNotReapedWhileItsLaunchMayStillBeDelivered) {
     f.up("n-1");
     f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     auto sent = f.cluster->push_commands(f.machine("n-1"), f.now);
     f.cluster->push_answered(f.machine("n-1"), sent, 10, false, true, f.now);
     auto a = only("n-1");
@@ -53,7 +53,7 @@
     auto& m = f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
     m.push_reachable = false;
-    f.place_all();
+    f.schedule_and_write();
     f.cluster->on_heartbeat(f.heartbeat("n-1"), true, f.now);
     auto sent = f.cluster->reply_commands(m, f.now);
     ASSERT_EQ(sent.size(), 1u);
@@ -70,7 +70,7 @@
 TEST_F(MachineTest, LeaseIsNotRenewedWhileAnUnansweredLaunchOfACancelledTaskMayExecute) {
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     auto sent = f.cluster->push_commands(f.machine("n-1"), f.now);
     f.cluster->push_answered(f.machine("n-1"), sent, 10, false, true, f.now);
     EXPECT_TRUE(f.machine("n-1").may_renew(f.now + 100s, 20s))
@@ -88,7 +88,7 @@
 TEST_F(MachineTest, EveryHeartbeatAnswerCarriesTheKills) {
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     f.run("n-1");
     EXPECT_TRUE(f.cluster->reply_commands(f.machine("n-1"), f.now, false).empty());
     f.cluster->cancel(job, f.now);
@@ -100,7 +100,7 @@
 TEST_F(MachineTest, HeartbeatDuringAnUnansweredPushDoesNotRemoveThePlacement) {
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     f.cluster->push_commands(f.machine("n-1"), f.now);
     f.cluster->on_heartbeat(f.heartbeat("n-1"), true, f.now);
     EXPECT_EQ(job.placements.size(), 1u);
@@ -109,7 +109,7 @@
 TEST_F(MachineTest, HeartbeatOfAnOlderSequenceNumberOrAgentEpochIsIgnored) {
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     auto old = f.heartbeat("n-1");
     f.run("n-1");
     EXPECT_FALSE(f.cluster->on_heartbeat(old, true, f.now));
@@ -122,7 +122,7 @@
 TEST_F(MachineTest, HeartbeatOfAHigherAgentEpochRemovesPlacementsOfTheEarlierEpoch) {
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     auto sent = f.cluster->push_commands(f.machine("n-1"), f.now);
     f.cluster->push_answered(f.machine("n-1"), sent, 10, false, true, f.now);
     auto r = f.heartbeat("n-1");
@@ -135,7 +135,7 @@
 TEST_F(MachineTest, RefusedPushIsSentAgain) {
     f.up("n-1");
     f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     auto sent = f.cluster->push_commands(f.machine("n-1"), f.now);
     // The worker refused the push with HTTP status 409: it executed none of the commands.
     f.cluster->push_answered(f.machine("n-1"), sent, 10, false, false, f.now);
@@ -219,7 +219,7 @@
     fresh.agent_epoch = 2;
     f.cluster->on_heartbeat(fresh, false, f.now);
     auto& job = f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     ASSERT_EQ(job.placements.size(), 1u);
     EXPECT_GE(f.machine("n-1").lease_expiry(20, f.cluster->acquired()), f.now + 20s);
     // The same holds for an agent epoch that follows one whose heartbeats were answered.
--- a/tests/offload_test.cpp
+++ b/tests/offload_test.cpp
@@ -35,27 +35,27 @@
 
 TEST(OffloadPlanner, OffersTasksOnlyToPermittedCellsWithKnownFreeCapacity) {
     OffloadPlanner planner;
-    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-1", 10)}, t0, 8).empty())
+    EXPECT_TRUE(planner.plan_offers(settings_of_east(), {job("wk-1", 10)}, t0, 8).empty())
         << "no digest of another cell has arrived";
     planner.on_digest("north", digest_of(100), t0, t0);
-    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-1", 10)}, t0, 8).empty())
+    EXPECT_TRUE(planner.plan_offers(settings_of_east(), {job("wk-1", 10)}, t0, 8).empty())
         << "the team may not run in north";
     planner.on_digest("west", digest_of(2), t0, t0);
-    auto out =
-        planner.choose(settings_of_east(), {job("wk-1", 5), job("wk-2", 10), job("wk-3", 9, "home")}, t0, 8);
+    auto out = planner.plan_offers(settings_of_east(),
+                                   {job("wk-1", 5), job("wk-2", 10), job("wk-3", 9, "home")}, t0, 8);
     ASSERT_EQ(out.size(), 2u);
     EXPECT_EQ(out[0].tasks, 5u);
     EXPECT_EQ(out[0].to, "west");
     EXPECT_EQ(out[1].tasks, 3u) << "the offers together fill the free capacity";
-    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-1", 5)}, t0 + 10s, 8).empty())
+    EXPECT_TRUE(planner.plan_offers(settings_of_east(), {job("wk-1", 5)}, t0 + 10s, 8).empty())
         << "the digest is too old";
     auto recent = job("wk-1", 5);
     recent.waited = 1s;
-    EXPECT_TRUE(planner.choose(settings_of_east(), {recent}, t0, 8).empty());
+    EXPECT_TRUE(planner.plan_offers(settings_of_east(), {recent}, t0, 8).empty());
     auto full = digest_of(50);
     full.waiting = 1;
     planner.on_digest("west", full, t0, t0);
-    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-1", 5)}, t0, 8).empty())
+    EXPECT_TRUE(planner.plan_offers(settings_of_east(), {job("wk-1", 5)}, t0, 8).empty())
         << "tasks also wait in west";
 }
 
@@ -64,19 +64,19 @@
     OffloadPlanner planner;
     planner.on_digest("west", digest_of(2), t0, t0);
     planner.on_offer_sent("west", {1, 0, 1}, 8);
-    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-2", 5)}, t0, 8).empty());
+    EXPECT_TRUE(planner.plan_offers(settings_of_east(), {job("wk-2", 5)}, t0, 8).empty());
     planner.on_digest("west", digest_of(2), t0 + 1s, t0 + 1s);
-    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-2", 5)}, t0 + 1s, 8).empty())
+    EXPECT_TRUE(planner.plan_offers(settings_of_east(), {job("wk-2", 5)}, t0 + 1s, 8).empty())
         << "the offer has not been answered yet";
     planner.on_offer_answered("west", t0 + 2s);
     planner.on_digest("west", digest_of(2), t0 + 1900ms, t0 + 2100ms);
-    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-2", 5)}, t0 + 2100ms, 8).empty())
+    EXPECT_TRUE(planner.plan_offers(settings_of_east(), {job("wk-2", 5)}, t0 + 2100ms, 8).empty())
         << "the digest was requested before the offer was answered";
     planner.on_digest("west", digest_of(2), t0 + 2200ms, t0 + 2300ms);
-    EXPECT_EQ(planner.choose(settings_of_east(), {job("wk-2", 5)}, t0 + 2300ms, 8).size(), 1u);
+    EXPECT_EQ(planner.plan_offers(settings_of_east(), {job("wk-2", 5)}, t0 + 2300ms, 8).size(), 1u);
     planner.on_offer_refused("west", t0 + 3s);
     planner.on_digest("west", digest_of(2), t0 + 4s, t0 + 4s);
-    EXPECT_TRUE(planner.choose(settings_of_east(), {job("wk-2", 5)}, t0 + 4s, 8).empty())
+    EXPECT_TRUE(planner.plan_offers(settings_of_east(), {job("wk-2", 5)}, t0 + 4s, 8).empty())
         << "west refused an offer a second ago";
 }
 
@@ -210,7 +210,7 @@
     cells::IndexSet shard;
     shard.insert_range(2, 4);
     f.cluster->add_delegated_shard({f.spec("wk-1", 10), 5}, shard, {}, f.now, f.wall);
-    f.place_all();
+    f.schedule_and_write();
     f.run("n-1");
     std::set<std::uint32_t> started;
     for (auto& a : f.on("n-1")) started.insert(a.task.index);
@@ -243,7 +243,7 @@
     auto delegated = f.cluster->delegate(job, 7);
     EXPECT_EQ(delegated.size(), 7u);
     EXPECT_TRUE(delegated.contains(9));
-    f.place_all();
+    f.schedule_and_write();
     f.run("n-1");
     EXPECT_EQ(f.on("n-1").size(), 3u);
     std::vector<TaskStatus> ended;
--- a/tests/partition_histories_test.cpp
+++ b/tests/partition_histories_test.cpp
@@ -21,7 +21,7 @@
                                                   : spec.image_gb / m.fetch_gb_per_s;
         double score = -fetch_s * (spec.kind == JobKind::service ? 10.0 : 1.0);
         if (spec.spot_ok && m.spot) score += 8;
-        if (job.failed_on.contains(name)) score -= 1000;
+        if (job.failed_machines.contains(name)) score -= 1000;
         score -= m.errors * 20.0 + (m.slowness - 1.0) * 30.0;
         if (m.capacity.cpus > 0) score -= 3.0 * (free.cpus - spec.need.cpus) / m.capacity.cpus;
         scored.emplace_back(score, &m);
@@ -50,10 +50,12 @@
         auto& indexed = cluster->capacity_index().find(*m).capacity;
         auto expected = placement::attainable_capacity(*m);
         if (std::abs(indexed.free.cpus - m->available().cpus) > 1e-6 ||
-            indexed.has_stopping != expected.has_stopping || indexed.may_free != expected.may_free)
+            indexed.has_stopping != expected.has_stopping ||
+            indexed.may_yield_capacity != expected.may_yield_capacity)
             return "machine " + name + ": the capacity index has wrong free capacity or flags";
         for (int level = 0; level < wire::priority_levels; ++level)
-            if (std::abs(indexed.up_to_level(level).cpus - expected.up_to_level(level).cpus) > 1e-6)
+            if (std::abs(indexed.attainable_for_level(level).cpus -
+                         expected.attainable_for_level(level).cpus) > 1e-6)
                 return "machine " + name + ": the capacity index has wrong CPUs attainable by preemption";
     }
     return "";
--- a/tests/partition_history.hpp
+++ b/tests/partition_history.hpp
@@ -75,7 +75,7 @@
     void lead() {
         ++fencing_token;
         cluster = std::make_unique<Cluster>(rules);
-        cluster->lead(fencing_token, now);
+        cluster->set_fencing_token(fencing_token, now);
         bound = std::make_unique<leases::RenewalBound>(std::set<std::string>{"south"}, renewal_period, now,
                                                        fencing_token);
         cluster->set_types({{"small", 4, 0, 32, 30, 0.5, 1.0, 0.2, 25, {"a", "b"}}});
@@ -108,7 +108,7 @@
         if (was_partitioned && now >= partition_end) {
             for (auto& message : std::exchange(delayed_by_partition, {})) deliver(message);
             for (auto& heartbeat : std::exchange(delayed_heartbeats, {}))
-                bound->heard("south", heartbeat, now, true);
+                bound->record_heartbeat("south", heartbeat, now, true);
         }
         for (auto& [id, confirmed] : cancelled)
             if (now > confirmed + secs(cancel_s))
@@ -126,16 +126,17 @@
         }
         const auto outcome = pick(6);
         if (outcome == 0) return;  // the heartbeat is lost
-        bound->heard("south", heartbeat, now, true);
+        bound->record_heartbeat("south", heartbeat, now, true);
         if (outcome == 1) return;  // the answer is lost
-        node->granted(
+        node->record_grant(
             now, now,
             {fencing_token, bound->timestamp_ms(now), false, cluster->machines_with_cancelled_tasks()});
     }
     // The node renews the lease of a worker in its partitioned zone if it may.
     void renew_by_node(const std::string& name) {
         Worker& w = workers[name];
-        if (booting.contains(name) || !partitioned(w) || !node->may_renew_cut_off(heartbeat(name), now, true))
+        if (booting.contains(name) || !partitioned(w) ||
+            !node->may_renew_in_partition(heartbeat(name), now, true))
             return;
         if (node->fencing_token() < w.fencing_token) return;  // the worker ignores the answer
         w.fencing_token = node->fencing_token();
@@ -243,7 +244,7 @@
             }
             records.apply(writes);
             for (auto& w : writes)
-                if (w.durable) w.durable();
+                if (w.on_durable) w.on_durable();
         }
     }
     void fail_over() {
@@ -296,7 +297,7 @@
             auto name = workers.begin()->first;
             workers.erase(name);
             booting.erase(name);
-            cluster->machine_gone(name, "returned", now);
+            cluster->remove_machine(name, "returned", now);
         }
     }
     // Advances the clock; during a partition the node in the zone may renew leases of its workers.
@@ -310,7 +311,8 @@
         if (pick(40) == 0) node = std::make_unique<leases::LeaseRenewer>("b", renewal_period, now);
         std::size_t before = 0, after = 0;
         for (auto& [name, m] : cluster->machines()) before += m->assignments.size();
-        cluster->tick(now, [&](const std::string& zone) { return bound->latest_renewal(zone, now); });
+        cluster->tick(now,
+                      [&](const std::string& zone) { return bound->latest_possible_renewal(zone, now); });
         for (auto& [name, m] : cluster->machines()) after += m->assignments.size();
         expired_leases += after < before;
     }
@@ -358,7 +360,7 @@
             default:
                 cancel_any_job();
                 if (cluster->has_unanswered_launch(now))
-                    cluster->lead(++fencing_token, now);  // refreshes the fencing token
+                    cluster->set_fencing_token(++fencing_token, now);  // refreshes the fencing token
                 if (pick(12) == 0) fail_over();
         }
     }
--- a/tests/quota_enforcement_test.cpp
+++ b/tests/quota_enforcement_test.cpp
@@ -11,7 +11,7 @@
     fleet.up("n-1");
     fleet.up("n-2");
     fleet.add(fleet.job_spec("wk-1", "desk", 8, Priority::production));
-    fleet.place_all();
+    fleet.schedule_and_write();
     fleet.complete_commands();
     ASSERT_EQ(fleet.used_cpus("desk"), 8);
     fleet.add(fleet.job_spec("wk-2", "crew", 6, Priority::low));
@@ -20,7 +20,7 @@
     fleet.cluster->schedule_round(fleet.now);
     EXPECT_EQ(fleet.stopping_tasks(), 4u) << "no further preemption while capacity is being freed";
     fleet.complete_commands();
-    fleet.place_all();
+    fleet.schedule_and_write();
     fleet.complete_commands();
     EXPECT_EQ(fleet.used_cpus("crew"), 4);
     EXPECT_EQ(fleet.used_cpus("desk"), 4);
@@ -28,7 +28,7 @@
     // nor preempt other tasks.
     for (int i = 0; i < 5; ++i) {
         fleet.now += 1s;
-        fleet.place_all();
+        fleet.schedule_and_write();
         EXPECT_EQ(fleet.stopping_tasks(), 0u);
         fleet.complete_commands();
     }
@@ -39,7 +39,7 @@
     QuotaFleet fleet(config_with_two_teams(3));
     fleet.up("n-1");
     fleet.add(fleet.job_spec("wk-1", "desk", 4, Priority::normal));
-    fleet.place_all();
+    fleet.schedule_and_write();
     fleet.complete_commands();
     fleet.add([&] {
         auto spec = fleet.job_spec("wk-2", "crew", 1, Priority::low);
@@ -59,11 +59,11 @@
                          exits ? Cause::stopped : Cause::none, false});
     }
     fleet.cluster->on_heartbeat(fleet.heartbeat("n-1", tasks), true, fleet.now);
-    fleet.place_all();
+    fleet.schedule_and_write();
     EXPECT_EQ(fleet.used_cpus("desk"), 3);
     EXPECT_EQ(fleet.on("n-1").size(), 4u) << "including the exited task; no task was started";
     fleet.complete_commands();
-    fleet.place_all();
+    fleet.schedule_and_write();
     EXPECT_EQ(fleet.used_cpus("crew"), 3);
 }
 
@@ -75,21 +75,21 @@
     gang.kind = JobKind::gang;
     gang.need.cpus = 4;
     fleet.add(gang);
-    fleet.place_all();
+    fleet.schedule_and_write();
     fleet.complete_commands();
     auto guaranteed_job = fleet.job_spec("wk-2", "crew", 1, Priority::low);
     fleet.add(guaranteed_job);
     fleet.cluster->schedule_round(fleet.now);
     EXPECT_EQ(fleet.stopping_tasks(), 2u) << "both tasks of the gang are preempted for one CPU";
     fleet.complete_commands();
-    fleet.place_all();
+    fleet.schedule_and_write();
     fleet.complete_commands();
     ASSERT_EQ(fleet.used_cpus("crew"), 1);
     // The other team's job has a higher priority and needs all CPUs, but the task within the guarantee
     // continues.
     for (int i = 0; i < 3; ++i) {
         fleet.now += 1s;
-        fleet.place_all();
+        fleet.schedule_and_write();
         fleet.complete_commands();
     }
     EXPECT_EQ(fleet.used_cpus("crew"), 1);
@@ -104,7 +104,7 @@
     QuotaFleet fleet(config);
     for (auto name : {"n-1", "n-2", "n-3"}) fleet.up(name);
     fleet.add(fleet.job_spec("wk-1", "crew", 40, Priority::high, "rebuild"));
-    fleet.place_all();
+    fleet.schedule_and_write();
     fleet.complete_commands();
     EXPECT_EQ(fleet.used_cpus("bureau"), 8) << "of 12 CPUs: the limit of an ancestor of the project's team";
     EXPECT_EQ(fleet.cluster->explain(*fleet.cluster->find_job("wk-1"), fleet.now),
@@ -114,7 +114,7 @@
     fleet.cluster->schedule_round(fleet.now);
     EXPECT_EQ(fleet.stopping_tasks(), 3u);
     fleet.complete_commands();
-    fleet.place_all();
+    fleet.schedule_and_write();
     fleet.complete_commands();
     EXPECT_EQ(fleet.used_cpus("bureau/crew/slips"), 3);
     EXPECT_EQ(fleet.used_cpus("bureau"), 8);
@@ -131,7 +131,7 @@
     checkpointing.save_s = 1;
     fleet.add(checkpointing);
     fleet.add(fleet.job_spec("wk-2", "crew", 4, Priority::normal));
-    fleet.place_all();
+    fleet.schedule_and_write();
     fleet.complete_commands();
     ASSERT_EQ(fleet.used_cpus("crew"), 6);
     auto tree = build_tree(R"({"name":"crew","team":"crew","limit":{"cpus":3}})", config);
@@ -139,7 +139,7 @@
     fleet.cluster->tick(fleet.now);
     EXPECT_EQ(fleet.stopping_tasks(), 2u) << "checkpointing tasks are preempted at once";
     fleet.add(fleet.job_spec("wk-3", "crew", 1, Priority::production));
-    fleet.place_all();
+    fleet.schedule_and_write();
     fleet.complete_commands();
     EXPECT_EQ(fleet.used_cpus("crew"), 4) << "no task starts while the team is above its limit";
     fleet.cluster->tick(fleet.now);
@@ -175,7 +175,7 @@
     QuotaFleet fleet(config);
     fleet.up("n-1");
     fleet.add(fleet.job_spec("wk-1", "crew", 4, Priority::normal));
-    fleet.place_all();
+    fleet.schedule_and_write();
     fleet.complete_commands();
     auto service = fleet.job_spec("wk-2", "crew", 4, Priority::production);
     service.kind = JobKind::service;
@@ -199,6 +199,6 @@
               "GB free");
     EXPECT_EQ(fleet.cluster->explain(fleet.add(fleet.job_spec("wk-3", "crew", 1, Priority::low)), fleet.now),
               "2 tasks of higher levels or older jobs come first");
-    fleet.place_all();
+    fleet.schedule_and_write();
     EXPECT_EQ(fleet.cluster->explain(job, fleet.now), "") << "no task of the job is waiting any more";
 }
--- a/tests/quota_histories_test.cpp
+++ b/tests/quota_histories_test.cpp
@@ -61,7 +61,7 @@
     }
     void start_leader() {
         cluster = std::make_unique<Cluster>(config);
-        cluster->lead(fencing_token, now);
+        cluster->set_fencing_token(fencing_token, now);
         cluster->set_types({{"small", 4, 0, 32, 30, 0.5, 1.0, 0.2, 25, {"a"}}});
         cluster->set_quotas(tree, quotas_changed, 5);
         records.read_into(*cluster, now, wall);
@@ -95,7 +95,7 @@
             }
             records.apply(writes);
             for (auto& record_write : writes)
-                if (record_write.durable) record_write.durable();
+                if (record_write.on_durable) record_write.on_durable();
         }
     }
     void fail_over() {
--- a/tests/retries_test.cpp
+++ b/tests/retries_test.cpp
@@ -19,7 +19,7 @@
     TaskStatus start_and_fail(const std::string& name) {
         now += 60s;
         cluster->on_heartbeat(heartbeat(name, {}, cluster->fencing_token()), true, now);
-        place_all();
+        schedule_and_write();
         auto commands = run(name);
         EXPECT_EQ(commands.size(), 1u);
         TaskStatus failed{commands.at(0).attempt, TaskState::exited, Cause::error, false};
@@ -53,7 +53,7 @@
     RetryFleet f;
     f.up("n-1");
     f.add(f.job_with_retries(1, 2));
-    f.place_all();
+    f.schedule_and_write();
     auto sent = f.run("n-1");
     ASSERT_EQ(sent.size(), 2u);
     auto other = sent[sent[0].attempt.task.index == 1 ? 0 : 1].attempt;
@@ -66,7 +66,7 @@
         f.now += 61s;
         f.cluster->on_heartbeat(f.heartbeat("n-1", {running}), true, f.now);
         if (i == 0) {
-            f.place_all();
+            f.schedule_and_write();
             f.run("n-1");
         }
     }
@@ -173,7 +173,7 @@
     auto s = f.job_with_retries(1, 2);
     s.kind = wire::JobKind::gang;
     f.add(s);
-    f.place_all();
+    f.schedule_and_write();
     auto sent = f.run("n-1");
     ASSERT_EQ(sent.size(), 2u);
     std::vector<TaskStatus> both;
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -14,7 +14,7 @@
     auto later = f.spec("wk-3", 3);
     for (auto* s : {&low, &too_large, &later}) f.add(*s);
     f.up("n-1");
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_EQ(f.cluster->find_job("wk-3")->placements.size(), 3u);
     EXPECT_EQ(f.cluster->find_job("wk-1")->placements.size(), 1u);
     EXPECT_EQ(f.cluster->find_job("wk-2")->waiting.size(), 1u);
@@ -41,18 +41,18 @@
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     f.run("n-1");
     f.machine("n-1").last_answer = f.now;
     f.now += 10s;  // n-1 sends no heartbeat from here on
     f.up("n-2");
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_TRUE(f.on("n-2").empty());
     auto& m = f.machine("n-1");
     EXPECT_GT(m.lease_expiry(20, f.cluster->acquired()), f.now + 10s)
         << "the expiry includes the lease, clock drift and timer resolution";
     f.cluster->expire_lease(m, f.now);
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_EQ(f.on("n-2").size(), 1u);
     EXPECT_EQ(job.placements.size(), 1u);
 }
@@ -61,9 +61,9 @@
     Fleet f;
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1", 2));
-    f.place_all();
+    f.schedule_and_write();
     f.run("n-1");
-    f.cluster->machine_gone("n-1", "returned", f.now);
+    f.cluster->remove_machine("n-1", "returned", f.now);
     EXPECT_EQ(job.waiting.size(), 2u);
     auto writes = f.write();
     ASSERT_EQ(writes.size(), 1u);
@@ -77,10 +77,10 @@
     s.kind = JobKind::service;
     auto& job = f.add(s);
     f.up("n-1", "a");
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_EQ(job.placements.size(), 2u);  // half of three tasks, rounded up
     f.up("n-2", "b");
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_EQ(job.placements.size(), 3u);
     EXPECT_EQ(f.on("n-2").size(), 1u);
 }
@@ -92,7 +92,7 @@
     auto& job = f.add(s);
     f.up("n-1", "a");
     f.up("n-2", "b");
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_EQ(job.placements.size(), 4u);
     EXPECT_TRUE(f.on("n-1").empty() || f.on("n-2").empty());
 }
@@ -103,11 +103,11 @@
     Fleet f(config);
     f.up("n-1");
     auto& job = f.add(f.spec("wk-1", 8));
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_EQ(job.placements.size(), 3u);
     f.machine("n-1").suspected = true;  // sends no heartbeats, but its tasks may still run
     f.up("n-2");
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_TRUE(f.on("n-2").empty());
 }
 
@@ -115,12 +115,12 @@
     Fleet f;
     f.up("n-1", "a", "small", true);
     auto& job = f.add(f.spec("wk-1"));
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_TRUE(job.placements.empty());
     auto s = f.spec("wk-2");
     s.spot_ok = true;
     f.add(s);
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_EQ(f.on("n-1").size(), 1u);
 }
 
@@ -130,10 +130,10 @@
     s.kind = JobKind::gang;
     auto& job = f.add(s);
     f.up("n-1");
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_TRUE(job.placements.empty());
     f.up("n-2");
-    f.place_all();
+    f.schedule_and_write();
     ASSERT_EQ(job.placements.size(), 3u);
     std::set<std::uint64_t> attempt_numbers;
     for (auto name : {"n-1", "n-2"})
@@ -146,14 +146,14 @@
     // gone.
     std::string lost_machine = f.on("n-1").size() == 1 ? "n-1" : "n-2",
                 remaining_machine = lost_machine == "n-1" ? "n-2" : "n-1";
-    f.cluster->machine_gone(lost_machine, "returned", f.now);
+    f.cluster->remove_machine(lost_machine, "returned", f.now);
     f.up("n-3");
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_TRUE(f.on("n-3").empty());
     auto kills = f.cluster->push_commands(f.machine(remaining_machine), f.now);
     EXPECT_EQ(kills.size(), 2u);
     f.cluster->on_heartbeat(f.heartbeat(remaining_machine), true, f.now);
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_EQ(job.placements.size(), 3u);
 }
 
--- a/tests/starvation_monitor_test.cpp
+++ b/tests/starvation_monitor_test.cpp
@@ -46,7 +46,7 @@
     StarvationMonitor monitor;
     monitor.begin_pass(start);
     monitor.end_pass(start);
-    for (int i = 0; i < 8; ++i) monitor.job_over("slips", "desk", false);
+    for (int i = 0; i < 8; ++i) monitor.record_finished_job("slips", "desk", false);
     monitor.begin_pass(start);
     EXPECT_EQ(monitor.end_pass(start)[0].state, StarvationMonitor::State::starved);
     // Ten half-lives later, four served jobs outweigh the eight missed ones.
@@ -62,7 +62,7 @@
     StarvationMonitor monitor(thresholds);
     run_pass(monitor, start, 2, 8);
     for (int i = 0; i < 100; ++i)
-        monitor.job_over("made-up-" + std::to_string(i), "t" + std::to_string(i), true);
+        monitor.record_finished_job("made-up-" + std::to_string(i), "t" + std::to_string(i), true);
     EXPECT_LT(monitor.share("class slips"), 0.5);
     run_pass(monitor, start + 40s, 2, 8);
     EXPECT_LT(monitor.share("class slips"), 0.5);
@@ -83,7 +83,7 @@
         low.job_class = "slips";
         f.add(low);
     }
-    f.place_all();
+    f.schedule_and_write();
     EXPECT_TRUE(f.cluster->check_starvation(f.now).empty()) << "no job is overdue yet";
     f.now += 5min;
     auto findings = f.cluster->check_starvation(f.now);
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -68,7 +68,7 @@
     }
     void restart(std::uint64_t fencing_token) {
         cluster = std::make_unique<Cluster>(rules);
-        cluster->lead(fencing_token, now);
+        cluster->set_fencing_token(fencing_token, now);
         std::vector<wire::MachineType> types(2);
         types[0] = {"small", 4, 0, 32, 30, 0.5, 1.0, 0.2, 25, {"a", "b"}};
         types[1] = {"card", 16, 4, 128, 100, 0.5, 10.0, 4.0, 30, {"a", "b"}};
@@ -123,7 +123,7 @@
     std::vector<placement::Write> write() {
         auto all = cluster->take_writes(1000, 1 << 20, now, wall);
         for (auto& w : all)
-            if (w.durable) w.durable();
+            if (w.on_durable) w.on_durable();
         return all;
     }
     std::vector<Attempt> on(const std::string& name) {
@@ -142,7 +142,7 @@
                               now);
         return commands;
     }
-    void place_all() {
+    void schedule_and_write() {
         cluster->schedule_round(now);
         write();
     }
