--- a/tests/starvation_monitor_test.cpp
+++ b/tests/starvation_monitor_test.cpp
@@ -90,7 +90,7 @@
     ASSERT_FALSE(findings.empty());
     EXPECT_EQ(findings[0].group, "class slips");
     EXPECT_EQ(findings[0].state, StarvationMonitor::State::starved);
-    EXPECT_EQ(findings[0].waiting, 6);
+    EXPECT_EQ(findings[0].overdue_jobs, 6);
     // An overdue job that its user cancels before it starts counts as missed.
     f.cluster->cancel(*f.cluster->find_job("wk-100"), f.now);
     f.write();
