--- a/tests/site/zone.sh
+++ b/tests/site/zone.sh
@@ -22,7 +22,7 @@
 desk=$(submit '"sort":"service","rank":"production","tasks":4,"cpus":1,"mem_gb":0.1' "$beat")
 pair=$(submit '"sort":"service","rank":"production","tasks":4,"spread":true,"cpus":1,"mem_gb":0.1' "$beat")
 work_there=$(submit '"tasks":2,"zone":"west","cpus":1,"mem_gb":0.1,"rank":"normal"' \
-    "for i in \$(seq 120); do printf '%s %s %s\\\\n' \"\$(date +%s.%N)\" \"\$BARROW_JOB/\$BARROW_TASK\" \$\$ >> $work/beats; sleep 0.2; done")
+    "for i in \$(seq 120); do printf '%s %s %s\\n' \"\$(date +%s.%N)\" \"\$BARROW_JOB/\$BARROW_TASK\" \$\$ >> $work/beats; sleep 0.2; done")
 for job in "$desk" "$pair"; do until_alive "$job" 4 20 || say "$(alive "$job") of 4 replicas of $job are up"; done
 until_alive "$work_there" 2 10 || say "$(alive "$work_there") of 2 tasks run in the zone"
 # The leader shall be outside of the zone that is cut (barrow-1 is its only node), so that its node has a leader to lose.
